--- a/tests/slotkit.py
+++ b/tests/slotkit.py
@@ -1,37 +1,37 @@
-"""Books of slots, wants, and what is decided on them, for tests."""
+"""Slot schedulers and requests for tests, and summaries of decisions."""
 
 from camphortray import slot_scheduler
 
 
-def book_of(engines=2, slots=2):
-    """Return a book of some engines."""
-    book = slot_scheduler.SlotScheduler()
-    book.set_engines(
+def scheduler_of(engines=2, slots=2):
+    """Return a scheduler for some engines."""
+    scheduler = slot_scheduler.SlotScheduler()
+    scheduler.set_engines(
         [slot_scheduler.EngineSlots(f"e{n}", slots) for n in range(engines)],
         0.0,
     )
-    return book
+    return scheduler
 
 
 def online(name, at=0.0, **fields):
-    """Return the want of a question."""
+    """Return an online request."""
     given = {"objective_s": 0.3, "left_s": 5.0, **fields}
     return slot_scheduler.SlotRequest(name, "h", True, asked_at=at, **given)
 
 
 def item(name, due_at=18.0, work_s=4.8, **fields):
-    """Return the want of a batch item."""
+    """Return the request of a batch item."""
     return slot_scheduler.SlotRequest(
         name, "h", False, due_at=due_at, work_s=work_s, **fields
     )
 
 
 def kinds(decisions):
-    """Return kind and id of each decision."""
+    """Return the kind and request id of each decision."""
     return [(type(d).__name__, d.want.id) for d in decisions]
 
 
-def fill(book, count, make=online, now=0.0):
-    """Take some slots."""
+def fill(scheduler, count, make=online, now=0.0):
+    """Ask for ``count`` slots."""
     for number in range(count):
-        book.ask(make(f"{make.__name__}{number}"), now)
+        scheduler.ask(make(f"{make.__name__}{number}"), now)
--- a/tests/test_slot_reconciler.py
+++ b/tests/test_slot_reconciler.py
@@ -17,7 +17,7 @@
 def test_a_report_teaches_a_new_coordinator_what_runs():
     # The coordinator is killed; its holders turn to the next host, which
     # knows nothing. Without their reports it would fill the engines twice.
-    old, new = slotkit.book_of(), slotkit.book_of()
+    old, new = slotkit.scheduler_of(), slotkit.scheduler_of()
     slotkit.fill(old, 3, slotkit.item)
     slot_reconciler.SlotReconciler(new).report(
         "h", old.leases.values(), [], 5.0
@@ -29,7 +29,7 @@
 def test_a_report_heals_what_was_lost_on_the_way():
     # The end of a lease was lost: its slot would stay taken for ever. A
     # grant on its way to its holder is no such loss.
-    book = slotkit.book_of()
+    book = slotkit.scheduler_of()
     audit = slot_reconciler.SlotReconciler(book)
     slotkit.fill(book, 2, slotkit.item)
     assert slotkit.kinds(audit.report("h", [], [], 0.1)) == []
@@ -40,7 +40,7 @@
 
 def test_a_host_that_is_gone_gives_all_back():
     # As soon as its engines say that they run nothing of it any more.
-    book = slotkit.book_of()
+    book = slotkit.scheduler_of()
     audit = slot_reconciler.SlotReconciler(book)
     slotkit.fill(book, 4)
     decisions = audit.forget("h", 0.01)
@@ -74,7 +74,7 @@
 ):
     # The host has lost power: no connection was closed, and its engine
     # runs on. Given out, the slot would be a place in the engine's queue.
-    book = slotkit.book_of(engines=1, slots=2)
+    book = slotkit.scheduler_of(engines=1, slots=2)
     audit = slot_reconciler.SlotReconciler(book)
     slotkit.fill(book, 2, slotkit.item)
     audit.forget("h", 4.0)
@@ -84,7 +84,7 @@
 
 
 def test_what_a_new_book_never_knew_counts_as_well():
-    book = slotkit.book_of(engines=2, slots=8)
+    book = slotkit.scheduler_of(engines=2, slots=8)
     audit = slot_reconciler.SlotReconciler(book)
     audit.reported("e0", 5, 0.0, True)
     assert book.free_slots(0.0) == 11
@@ -103,7 +103,7 @@
     # The coordinator is lost, and the next one asks the engines at once.
     # What it finds there is mostly of hosts that are there, and tell of it
     # some milliseconds later; counted twice, no slot would be free.
-    book = slotkit.book_of(engines=1, slots=8)
+    book = slotkit.scheduler_of(engines=1, slots=8)
     audit = slot_reconciler.SlotReconciler(book)
     audit.reported("e0", 5, 0.0, True)
     leases = [
@@ -118,7 +118,7 @@
 
 
 def test_runs_without_a_holder_end_where_no_report_comes():
-    book = slotkit.book_of(engines=1, slots=2)
+    book = slotkit.scheduler_of(engines=1, slots=2)
     audit = slot_reconciler.SlotReconciler(book)
     slotkit.fill(book, 2, slotkit.item)
     audit.forget("h", 4.0)
@@ -132,7 +132,7 @@
 def test_a_lease_that_its_holder_no_longer_names_waits_for_a_report():
     # Either its end was lost on the way, or the holder has started again
     # after a loss of power. The engine knows.
-    book = slotkit.book_of(engines=1, slots=2)
+    book = slotkit.scheduler_of(engines=1, slots=2)
     audit = slot_reconciler.SlotReconciler(book)
     slotkit.fill(book, 2, slotkit.item)
     audit.report("h", [], [], 1.0)
@@ -143,7 +143,7 @@
 
 
 def test_a_life_that_is_over_holds_no_slots():
-    book = slotkit.book_of(engines=1, slots=2)
+    book = slotkit.scheduler_of(engines=1, slots=2)
     audit = slot_reconciler.SlotReconciler(book)
     slotkit.fill(book, 2, slotkit.item)
     book.set_engines([slot_scheduler.EngineSlots("e0~2", 2)], 1.0)
@@ -161,7 +161,7 @@
 
 
 def test_a_holder_that_stops_its_item_is_asked_again():
-    book = slotkit.book_of(engines=1, slots=2)
+    book = slotkit.scheduler_of(engines=1, slots=2)
     book.ask(held_by("i0", "a"), 0.0)
     book.ask(held_by("i1", "a"), 0.0)
     (revoked, _) = book.ask(slotkit.online("q0", 1.0), 1.0)
@@ -179,7 +179,7 @@
     # on, so a question that takes its item's slot waits inside the engine.
     # One does, then the items of others give way, and as many slots as the
     # engine says it has are given out.
-    book = slotkit.book_of(engines=1, slots=4)
+    book = slotkit.scheduler_of(engines=1, slots=4)
     audit = slot_reconciler.SlotReconciler(book)
     for number, holder in enumerate("aaab"):
         book.ask(held_by(f"i{number}", holder), 0.0)
@@ -200,7 +200,7 @@
 
 
 def test_a_holder_that_is_heard_of_gives_slots_again():
-    book = slotkit.book_of(engines=1, slots=2)
+    book = slotkit.scheduler_of(engines=1, slots=2)
     audit = slot_reconciler.SlotReconciler(book)
     wants = [held_by("i0", "a"), held_by("i1", "a")]
     for want in wants:
@@ -214,7 +214,7 @@
 
 
 def test_a_holder_that_is_slow_to_answer_is_asked_last():
-    book = slotkit.book_of(engines=1, slots=4)
+    book = slotkit.scheduler_of(engines=1, slots=4)
     for number, holder in enumerate("aaab"):
         book.ask(held_by(f"i{number}", holder), 0.0)
     (first, _) = book.ask(slotkit.online("q0", 1.0), 1.0)
@@ -228,7 +228,7 @@
 @pytest.mark.parametrize("lost", ["report", "revocation"])
 def test_an_orphan_whose_end_comes_late_gives_its_slot_back(lost):
     """A slot stayed in use until its engine was asked, or for 8 s."""
-    book = slotkit.book_of(engines=1, slots=2)
+    book = slotkit.scheduler_of(engines=1, slots=2)
     reconciler = slot_reconciler.SlotReconciler(book)
     slotkit.fill(book, 2, slotkit.item)
     if lost == "report":
@@ -252,7 +252,7 @@
 
 def test_a_late_end_frees_no_slot_that_its_engine_has_reported_free():
     """One of two orphans had ended; the other's slot was given out too."""
-    book = slotkit.book_of(engines=1, slots=2)
+    book = slotkit.scheduler_of(engines=1, slots=2)
     reconciler = slot_reconciler.SlotReconciler(book)
     slotkit.fill(book, 2, slotkit.item)
     reconciler.report("h", [], [], 1.0)
--- a/tests/test_slot_scheduler.py
+++ b/tests/test_slot_scheduler.py
@@ -1,4 +1,4 @@
-"""Who gets a slot, who waits, who is refused, and what gives way."""
+"""Which requests are granted a slot, queued, refused or preempted."""
 
 import pytest
 
@@ -17,99 +17,102 @@
 
 
 def test_never_more_in_flight_than_slots_over_all_hosts():
-    book = slotkit.book_of(engines=3, slots=2)
-    slotkit.fill(book, 20)
-    used = [lease.engine for lease in book.leases.values()]
+    scheduler = slotkit.scheduler_of(engines=3, slots=2)
+    slotkit.fill(scheduler, 20)
+    used = [lease.engine for lease in scheduler.leases.values()]
     assert sorted(used) == ["e0", "e0", "e1", "e1", "e2", "e2"]
 
 
 def test_a_question_takes_the_slot_of_an_item_at_once():
-    # All slots run batch items when a question comes. Queued in an engine
-    # it would wait seconds behind them; an item gives way instead, and
-    # the question goes to that engine.
-    book = slotkit.book_of()
-    slotkit.fill(book, 4, slotkit.item)
-    decisions = book.ask(slotkit.online("q"), 1.0)
+    # Queued inside an engine, the online request would wait seconds behind
+    # batch items. One of them is preempted instead.
+    scheduler = slotkit.scheduler_of()
+    slotkit.fill(scheduler, 4, slotkit.item)
+    decisions = scheduler.ask(slotkit.online("q"), 1.0)
     assert slotkit.kinds(decisions)[0][0] == "Revoke"
     assert slotkit.kinds(decisions)[1:] == [("Grant", "q")]
-    assert len(book.leases) == 4
+    assert len(scheduler.leases) == 4
 
 
 @pytest.mark.parametrize(
     ("dues", "preemption_candidate"),
     [
-        # Most time to spare.
+        # The most slack.
         ((8.0, 30.0), "i1"),
-        # Cannot be done in time any more, so nothing is lost with it.
+        # It misses its due time in any case.
         ((2.0, 30.0), "i0"),
     ],
 )
 def test_the_item_that_loses_least_gives_way(dues, preemption_candidate):
-    book = slotkit.book_of(engines=1, slots=2)
+    scheduler = slotkit.scheduler_of(engines=1, slots=2)
     for number, due_at in enumerate(dues):
-        book.ask(slotkit.item(f"i{number}", due_at), 0.0)
-    decisions = book.ask(slotkit.online("q"), 0.1)
+        scheduler.ask(slotkit.item(f"i{number}", due_at), 0.0)
+    decisions = scheduler.ask(slotkit.online("q"), 0.1)
     assert slotkit.kinds(decisions)[0] == ("Revoke", preemption_candidate)
 
 
 def test_a_question_is_refused_at_once_when_its_turn_comes_too_late():
-    # Twenty questions wait for four slots of 0.7 s each. The later ones
-    # would wait longer than their objective: told so at once, their
-    # callers come back while others are being served.
-    book = slotkit.book_of()
-    slotkit.fill(book, 4)
-    answers = [book.ask(slotkit.online(f"w{n}", 0.0), 0.0) for n in range(20)]
-    refused = [d for told in answers for d in told if isinstance(d, Refuse)]
-    assert len(book.queue) <= 1
+    # Twenty online requests ask for four slots that are held for 0.7 s each.
+    # Later ones would miss their objective; refused at once, their callers
+    # can retry while others are served.
+    scheduler = slotkit.scheduler_of()
+    slotkit.fill(scheduler, 4)
+    decided = [
+        scheduler.ask(slotkit.online(f"w{n}", 0.0), 0.0) for n in range(20)
+    ]
+    refused = [
+        d for decisions in decided for d in decisions if isinstance(d, Refuse)
+    ]
+    assert len(scheduler.queue) <= 1
     assert len(refused) >= 19
     assert all(0 < d.retry_after_s <= 5.0 / 3 for d in refused)
     assert len({d.retry_after_s for d in refused}) > 10
 
 
-def test_no_refusal_while_a_place_is_free():
-    book = slotkit.book_of(engines=2, slots=8)
+def test_no_refusal_while_a_slot_is_free():
+    scheduler = slotkit.scheduler_of(engines=2, slots=8)
     for number in range(16):
-        (decision,) = book.ask(slotkit.online(f"q{number}"), 0.0)
+        (decision,) = scheduler.ask(slotkit.online(f"q{number}"), 0.0)
         assert isinstance(decision, Grant)
 
 
 def test_a_queued_question_gets_the_next_slot_before_any_item():
-    book = slotkit.book_of(engines=1, slots=8)
-    slotkit.fill(book, 8)
-    assert book.ask(slotkit.online("q", 0.0), 0.0) == []
-    book.ask(slotkit.item("i"), 0.0)
-    decisions = book.done("online0", Outcome.GOOD, 0.05)
+    scheduler = slotkit.scheduler_of(engines=1, slots=8)
+    slotkit.fill(scheduler, 8)
+    assert scheduler.ask(slotkit.online("q", 0.0), 0.0) == []
+    scheduler.ask(slotkit.item("i"), 0.0)
+    decisions = scheduler.done("online0", Outcome.GOOD, 0.05)
     assert slotkit.kinds(decisions) == [("Grant", "q")]
 
 
-def test_a_queued_question_is_refused_when_its_patience_is_over():
-    book = slotkit.book_of(engines=1, slots=8)
-    slotkit.fill(book, 8)
-    book.ask(slotkit.online("q", 0.0), 0.0)
-    at = book.next_look(0.0)
+def test_a_queued_question_is_refused_after_its_longest_wait():
+    scheduler = slotkit.scheduler_of(engines=1, slots=8)
+    slotkit.fill(scheduler, 8)
+    scheduler.ask(slotkit.online("q", 0.0), 0.0)
+    at = scheduler.next_look(0.0)
     assert at == pytest.approx(0.3 * slot_scheduler.PATIENCE)
-    assert slotkit.kinds(book.decide(at + 0.001)) == [("Refuse", "q")]
+    assert slotkit.kinds(scheduler.decide(at + 0.001)) == [("Refuse", "q")]
 
 
 def test_the_higher_rank_waits_before_the_lower():
-    book = slotkit.book_of(engines=1, slots=8)
-    slotkit.fill(book, 8)
-    book.ask(slotkit.online("low", 0.0, priority=1), 0.0)
-    book.ask(slotkit.online("high", 0.01, priority=0), 0.01)
-    assert slotkit.kinds(book.done("online0", Outcome.GOOD, 0.02)) == [
+    scheduler = slotkit.scheduler_of(engines=1, slots=8)
+    slotkit.fill(scheduler, 8)
+    scheduler.ask(slotkit.online("low", 0.0, priority=1), 0.0)
+    scheduler.ask(slotkit.online("high", 0.01, priority=0), 0.01)
+    assert slotkit.kinds(scheduler.done("online0", Outcome.GOOD, 0.02)) == [
         ("Grant", "high")
     ]
 
 
 def test_items_that_can_be_in_time_go_first_the_next_due_before_others():
-    book = slotkit.book_of(engines=1, slots=1)
-    slotkit.fill(book, 1)
+    scheduler = slotkit.scheduler_of(engines=1, slots=1)
+    slotkit.fill(scheduler, 1)
     for name, due_at in (("late", 3.0), ("b", 20.0), ("a", 12.0)):
-        book.ask(slotkit.item(name, due_at), 0.0)
+        scheduler.ask(slotkit.item(name, due_at), 0.0)
     order = []
     name = "online0"
     for _ in range(3):
-        ((_, name),) = slotkit.kinds(book.done(name, Outcome.GOOD, 0.1))
+        ((_, name),) = slotkit.kinds(scheduler.done(name, Outcome.GOOD, 0.1))
         order.append(name)
     assert order == ["a", "b", "late"]
 
@@ -125,77 +128,81 @@
     ],
 )
 def test_what_an_engine_is_put_aside_for(outcomes, open_again_s):
-    # One answer that breaks off may be the fault of its request or of the
-    # way; an engine that cannot be reached takes nothing for a while.
-    book = slotkit.book_of(engines=1, slots=4)
+    # One truncated response may be due to its request or the network; an
+    # engine that cannot be reached gets no requests for a while.
+    scheduler = slotkit.scheduler_of(engines=1, slots=4)
     for number, outcome in enumerate(outcomes):
-        book.ask(slotkit.online(f"q{number}"), 0.0)
-        book.done(f"q{number}", outcome, 0.0)
-    assert bool(book.room("e0", 0.0)) == (open_again_s == 0.0)
-    assert book.room("e0", open_again_s) > 0
+        scheduler.ask(slotkit.online(f"q{number}"), 0.0)
+        scheduler.done(f"q{number}", outcome, 0.0)
+    assert bool(scheduler.room("e0", 0.0)) == (open_again_s == 0.0)
+    assert scheduler.room("e0", open_again_s) > 0
 
 
 def test_an_engine_that_was_out_of_reach_is_tried_with_one_request():
-    book = slotkit.book_of(engines=1, slots=8)
-    book.ask(slotkit.online("q"), 0.0)
-    book.done("q", Outcome.UNREACHED, 0.0)
+    scheduler = slotkit.scheduler_of(engines=1, slots=8)
+    scheduler.ask(slotkit.online("q"), 0.0)
+    scheduler.done("q", Outcome.UNREACHED, 0.0)
     later = enginehealth.UNREACHED_S
-    assert slotkit.kinds(book.ask(slotkit.online("a", later), later)) == [
+    assert slotkit.kinds(scheduler.ask(slotkit.online("a", later), later)) == [
         ("Grant", "a")
     ]
-    assert book.free_slots(later) == 0
-    book.done("a", Outcome.GOOD, later)
-    assert book.free_slots(later) == 8
+    assert scheduler.free_slots(later) == 0
+    scheduler.done("a", Outcome.GOOD, later)
+    assert scheduler.free_slots(later) == 8
 
 
 def test_pauses_double_while_an_engine_stays_out_of_reach():
-    book = slotkit.book_of(engines=1)
+    scheduler = slotkit.scheduler_of(engines=1)
     now = 0.0
     for pause_s in (0.5, 1.0, 2.0, 4.0, 4.0):
-        book.ask(slotkit.online("q", now), now)
-        book.done("q", Outcome.UNREACHED, now)
-        assert book.room("e0", now + pause_s - 0.01) == 0
+        scheduler.ask(slotkit.online("q", now), now)
+        scheduler.done("q", Outcome.UNREACHED, now)
+        assert scheduler.room("e0", now + pause_s - 0.01) == 0
         now += pause_s
-        assert book.room("e0", now) == 1
+        assert scheduler.room("e0", now) == 1
 
 
 def test_an_engine_that_failed_a_request_is_avoided_by_it():
-    book = slotkit.book_of(engines=2, slots=2)
-    (decision,) = book.ask(slotkit.online("q", avoid=frozenset({"e1"})), 0.0)
+    scheduler = slotkit.scheduler_of(engines=2, slots=2)
+    (decision,) = scheduler.ask(
+        slotkit.online("q", avoid=frozenset({"e1"})), 0.0
+    )
     assert decision.engine == "e0"
 
 
-def test_requests_of_one_prefix_meet_while_there_is_room():
-    book = slotkit.book_of(engines=4, slots=4)
+def test_requests_of_one_prefix_share_an_engine_while_it_has_room():
+    scheduler = slotkit.scheduler_of(engines=4, slots=4)
     engines = set()
     for number in range(4):
-        (decision,) = book.ask(slotkit.online(f"q{number}", prefix="p"), 0.0)
+        (decision,) = scheduler.ask(
+            slotkit.online(f"q{number}", prefix="p"), 0.0
+        )
         engines.add(decision.engine)
     assert len(engines) == 1
-    (decision,) = book.ask(slotkit.online("more", prefix="p"), 0.0)
+    (decision,) = scheduler.ask(slotkit.online("more", prefix="p"), 0.0)
     assert decision.engine not in engines
 
 
-def test_a_lost_grant_is_told_again():
-    book = slotkit.book_of()
+def test_a_lost_grant_is_sent_again():
+    scheduler = slotkit.scheduler_of()
     want = slotkit.online("q")
-    (first,) = book.ask(want, 0.0)
-    (again,) = book.ask(want, 0.2)
+    (first,) = scheduler.ask(want, 0.0)
+    (again,) = scheduler.ask(want, 0.2)
     assert first == again
-    assert len(book.leases) == 1
+    assert len(scheduler.leases) == 1
 
 
 def test_without_any_engine_a_question_is_refused():
-    book = slot_scheduler.SlotScheduler()
-    ((kind, _),) = slotkit.kinds(book.ask(slotkit.online("q"), 0.0))
+    scheduler = slot_scheduler.SlotScheduler()
+    ((kind, _),) = slotkit.kinds(scheduler.ask(slotkit.online("q"), 0.0))
     assert kind == "Refuse"
 
 
 def test_a_share_leaves_each_engine_one_slot_at_least():
-    book = slotkit.book_of(engines=2, slots=8)
-    book.set_share(0.05)
-    slotkit.fill(book, 10)
-    assert sorted(book.used.values()) == [1, 1]
+    scheduler = slotkit.scheduler_of(engines=2, slots=8)
+    scheduler.set_share(0.05)
+    slotkit.fill(scheduler, 10)
+    assert sorted(scheduler.used.values()) == [1, 1]
 
 
 @pytest.mark.parametrize(
@@ -218,35 +225,35 @@
 def test_an_engine_in_the_askers_zone_goes_before_others_while_it_has_room(
     prefix,
 ):
-    book = slot_scheduler.SlotScheduler()
+    scheduler = slot_scheduler.SlotScheduler()
     zones = ("a", "b", "c")
-    book.set_engines(
+    scheduler.set_engines(
         [slot_scheduler.EngineSlots(f"e-{zone}", 2, zone) for zone in zones],
         0.0,
     )
     found = []
     for number in range(3):
         want = slotkit.online(f"q{number}", zone="b", prefix=prefix)
-        (decision,) = book.ask(want, 0.0)
+        (decision,) = scheduler.ask(want, 0.0)
         found.append(decision.engine)
     assert found[:2] == ["e-b", "e-b"]
     assert found[2] != "e-b"
 
 
 def test_a_new_coordinator_learns_what_runs_before_it_starts_items():
-    """Items of a lost coordinator ran on, and as many were started beside."""
-    book = slotkit.book_of(engines=1, slots=2)
-    book.items_from = 0.25
-    assert slotkit.kinds(book.ask(slotkit.item("i"), 0.0)) == []
-    assert book.next_look(0.0) == 0.25
-    # A caller does not wait for it.
-    assert slotkit.kinds(book.ask(slotkit.online("q"), 0.1)) == [
+    """A new coordinator granted slots in which items still ran."""
+    scheduler = slotkit.scheduler_of(engines=1, slots=2)
+    scheduler.items_from = 0.25
+    assert slotkit.kinds(scheduler.ask(slotkit.item("i"), 0.0)) == []
+    assert scheduler.next_look(0.0) == 0.25
+    # Online requests are granted slots meanwhile.
+    assert slotkit.kinds(scheduler.ask(slotkit.online("q"), 0.1)) == [
         ("Grant", "q")
     ]
     lease = slot_scheduler.Lease(slotkit.item("j"), "e0", 0.0)
-    reconciler = slot_reconciler.SlotReconciler(book)
+    reconciler = slot_reconciler.SlotReconciler(scheduler)
     reconciler.report("h", [lease], [slotkit.item("i")], 0.2)
-    assert slotkit.kinds(book.decide(0.25)) == []
-    book.done("q", enginehealth.Outcome.GOOD, 0.3)
-    book.decide(0.3)
-    assert "i" in book.leases
+    assert slotkit.kinds(scheduler.decide(0.25)) == []
+    scheduler.done("q", enginehealth.Outcome.GOOD, 0.3)
+    scheduler.decide(0.3)
+    assert "i" in scheduler.leases
