--- a/camphortray/slot_accounting.py
+++ b/camphortray/slot_accounting.py
@@ -35,7 +35,7 @@
     @property
     def leases(self) -> dict[str, slot_queue.Lease]:
         """Leases by id of their wants."""
-        return self.held.held
+        return self.held.by_id
 
     # Leases.
 
--- a/camphortray/slot_queue.py
+++ b/camphortray/slot_queue.py
@@ -1,4 +1,4 @@
-"""Requests that ask for slots, and batch items in the order they get them."""
+"""Slot requests, leases, and the order in which items start and stop."""
 
 __all__ = ["ItemQueue", "Lease", "Leases", "SlotRequest"]
 
@@ -10,37 +10,36 @@
 
 from camphortray import priority_queue
 
-# Share added to the time that a batch item is expected to need.
-MARGIN = 1.15
-# Seconds by which a batch item should be done before it is due: its result
-# has to be kept and read too.
-READ_S = 0.8
-# Items that are looked at for one that gives way with little to read again.
-# Those due so soon that they should stay are among the first only when
-# nearly all are.
-MOST_LOOKS = 64
+# Safety factor on the time that a batch item is expected to need.
+WORK_MARGIN_FACTOR = 1.15
+# Time between the end of a batch item and its due time, for its result to be
+# stored and read.
+RESULT_READ_S = 0.8
+# Items examined for one that can be preempted safely with little to prefill
+# again. Items with too little slack fill that many only when nearly all have.
+MAX_CANDIDATES = 64
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class SlotRequest:
-    """A request that asks for a slot.
+    """A request for a slot.
 
     Attributes:
-      id: Unique, new for each try.
-      holder: Host that asks.
+      id: Unique, new for each attempt.
+      holder: Host that sends the request and will hold its lease.
       online: Whether a caller waits for it; else it is a batch item.
       priority: Rank among online requests, 0 first.
-      asked_at: When it was asked for.
-      objective_s: Time to the first event, for online requests.
-      left_s: Time after which nobody waits any more.
+      asked_at: When the slot was first asked for.
+      objective_s: Objective for the time to first event, if online.
+      left_s: Time after which no caller waits any more.
       due_at: When a batch item should be done.
-      work_s: Time that a batch item will hold the slot, as expected.
-      prefix: What it shares with other requests, or empty.
+      work_s: Expected time for which a batch item holds the slot.
+      prefix: Identifies the prompt prefix shared with others, or empty.
       zone: Availability zone of the host that asks.
       avoid: Engines that failed it.
-      made_s: Time that it took to make what a batch item has brought. The
-        next engine reads all of that again.
-      start_s: Time to the first event of a batch item, as expected.
+      made_s: Time spent on the output that a batch item already has. The next
+        engine has to prefill all of that output.
+      start_s: Expected time to the first event of a batch item.
     """
 
     id: str
@@ -60,29 +59,29 @@
 
     @property
     def begin_by(self) -> float:
-        """When a batch item must run from, to be done in time."""
-        return self.due_at - READ_S - self.work_s * MARGIN
+        """Latest time at which a batch item can start and be done in time."""
+        return self.due_at - RESULT_READ_S - self.work_s * WORK_MARGIN_FACTOR
 
 
 @dataclasses.dataclass(slots=True)
 class Lease:
-    """Leave to run one request at an engine."""
+    """The right to run one request on an engine."""
 
     want: SlotRequest
     engine: str
     granted_at: float
 
     @property
-    def spare_s(self) -> float:
-        """Time that a batch item had to spare when it was let in."""
+    def slack_s(self) -> float:
+        """Slack of a batch item when its slot was granted."""
         return self.want.begin_by - self.granted_at
 
 
 class ItemQueue:
     """Batch items that wait for a slot.
 
-    The ones due first go first, but those that cannot be done in time any
-    more only behind the others.
+    The earliest due time goes first; items that can no longer meet theirs go
+    after all others.
     """
 
     def __init__(self) -> None:
@@ -96,23 +95,23 @@
     def __len__(self) -> int:
         return len(self.timely) + len(self.late)
 
-    def __contains__(self, name: str) -> bool:
-        return name in self.timely or name in self.late
+    def __contains__(self, want_id: str) -> bool:
+        return want_id in self.timely or want_id in self.late
 
     def __iter__(self) -> Iterator[SlotRequest]:
         return itertools.chain(self.timely, self.late)
 
     def add(self, want: SlotRequest) -> None:
-        """Let an item wait."""
+        """Add an item."""
         self.timely.add(want.id, want.due_at, want)
 
-    def drop(self, name: str) -> None:
-        """Let an item wait no more."""
-        self.timely.drop(name)
-        self.late.drop(name)
+    def drop(self, want_id: str) -> None:
+        """Remove an item, if it is there."""
+        self.timely.drop(want_id)
+        self.late.drop(want_id)
 
     def pop(self, now: float) -> SlotRequest | None:
-        """Take out the item whose turn it is, or None if none waits."""
+        """Remove and return the next item, or None if none waits."""
         while (want := self.timely.first()) is not None:
             self.timely.drop(want.id)
             if want.begin_by >= now:
@@ -125,28 +124,27 @@
 
 
 class Leases:
-    """Leases by id, and which batch item can best give its slot away.
+    """Leases by request id, and the order in which items are preempted.
 
-    What cannot be done in time any more goes first, as nothing is lost with
-    it. Then what has made least, so that little is read again at the next
-    engine, where the reading also delays the requests beside it. Measured
-    over three seeds with batch beside questions: 5 to 18 in 100 fewer prompt
-    tokens read in all. Last what is due so soon that it could be late for
-    it, the most time to spare first.
+    Items that will miss their due time anyway go first. Then those with the
+    least output, as the next engine prefills it, which also delays the other
+    requests there; measured over three seeds with batch beside online
+    requests: 5 to 18% fewer prompt tokens in all. Items that might miss their
+    due time if preempted go last, those with the most slack first.
 
     Attributes:
-      held: All leases.
-      late: Those of batch items that cannot be done in time.
-      by_spare: The others of batch items, the most time to spare first.
-      by_made: The same, what has made least first.
+      by_id: All leases.
+      late: Leases of batch items that cannot be done in time.
+      by_slack: Leases of the other batch items, the most slack first.
+      by_made: The same leases, the least output first.
     """
 
     def __init__(self) -> None:
-        self.held: dict[str, Lease] = {}
+        self.by_id: dict[str, Lease] = {}
         self.late: priority_queue.PriorityQueue[Lease] = (
             priority_queue.PriorityQueue()
         )
-        self.by_spare: priority_queue.PriorityQueue[Lease] = (
+        self.by_slack: priority_queue.PriorityQueue[Lease] = (
             priority_queue.PriorityQueue()
         )
         self.by_made: priority_queue.PriorityQueue[Lease] = (
@@ -161,42 +159,42 @@
     @property
     def online(self) -> int:
         """Number of leases of online requests."""
-        return len(self.held) - self.items
+        return len(self.by_id) - self.items
 
     def add(self, lease: Lease) -> None:
-        """Keep a lease."""
-        name, spare_s = lease.want.id, lease.spare_s
-        self.held[name] = lease
+        """Add a lease."""
+        want_id, slack_s = lease.want.id, lease.slack_s
+        self.by_id[want_id] = lease
         if lease.want.online:
             return
-        if spare_s < 0:
-            self.late.add(name, -spare_s, lease)
+        if slack_s < 0:
+            self.late.add(want_id, -slack_s, lease)
             return
-        self.by_spare.add(name, -spare_s, lease)
-        # All run at the same pace, so that this order stays as it is.
-        self.by_made.add(name, lease.want.made_s - lease.granted_at, lease)
+        self.by_slack.add(want_id, -slack_s, lease)
+        # All items generate output at the same rate, so the order is stable.
+        self.by_made.add(want_id, lease.want.made_s - lease.granted_at, lease)
 
-    def pop(self, name: str) -> Lease | None:
-        """Take a lease out, if it is there."""
-        for order in (self.late, self.by_spare, self.by_made):
-            order.drop(name)
-        return self.held.pop(name, None)
+    def pop(self, want_id: str) -> Lease | None:
+        """Remove and return a lease, if it is there."""
+        for order in (self.late, self.by_slack, self.by_made):
+            order.drop(want_id)
+        return self.by_id.pop(want_id, None)
 
     def preemption_candidate(
         self, suits: Callable[[Lease], bool], safe_s: float
     ) -> Lease | None:
-        """Return the item that gives way among those that suit.
+        """Return the lease of the item to preempt, if any.
 
         Args:
-          suits: What is asked of its lease.
-          safe_s: Time to spare with which an item is not late for it.
+          suits: Whether a lease may be chosen.
+          safe_s: Slack with which a preempted item still meets its due time.
         """
 
         def safe(lease: Lease) -> bool:
-            return lease.spare_s >= safe_s and suits(lease)
+            return lease.slack_s >= safe_s and suits(lease)
 
         return (
             self.late.first(suits)
-            or self.by_made.first(safe, MOST_LOOKS)
-            or self.by_spare.first(suits)
+            or self.by_made.first(safe, MAX_CANDIDATES)
+            or self.by_slack.first(suits)
         )
--- a/camphortray/slot_scheduler.py
+++ b/camphortray/slot_scheduler.py
@@ -62,11 +62,10 @@
 # first event is 1.01 to 1.06 times that without batch, against 1.04 to 1.28
 # when items get free slots at once.
 PAYBACK = 6
-# Items are held back only while they have time, as that leaves about 5% of
-# the slot time idle: not when draining the queue takes longer than the slack
-# of its first item divided by this. Measured on two days of faults with more
-# items than slots: holding items back throughout earned 0.54 and 0.73 of the
-# value of the items.
+# Holding items back leaves about 5% of the slot time idle, so it stops when
+# draining their queue takes longer than the slack of its first item divided
+# by this. Measured on two days of faults with more items than slots: holding
+# items back throughout earned 0.54 and 0.73 of the value of the items.
 PRESSED_FACTOR = 2
 # Items skipped in one decision, being held back or without a suitable engine,
 # after which no more are examined; each costs some microseconds.
--- a/tests/test_slottable.py
+++ b/tests/test_slottable.py
@@ -119,25 +119,25 @@
             leases.pop(f"i{rng.randrange(40)}")
 
     def place(lease):
-        if lease.spare_s < 0:
-            return 0, -lease.spare_s
-        if lease.spare_s >= 5.0:
+        if lease.slack_s < 0:
+            return 0, -lease.slack_s
+        if lease.slack_s >= 5.0:
             return 1, lease.want.made_s - lease.granted_at
-        return 2, -lease.spare_s
+        return 2, -lease.slack_s
 
     while True:
         found = [
             lease
-            for lease in leases.held.values()
+            for lease in leases.by_id.values()
             if not lease.want.online and lease.engine != "e0"
         ]
         best = min(found, key=place, default=None)
         given = leases.preemption_candidate(lambda le: le.engine != "e0", 5.0)
         assert given is best
-        items = sum(not le.want.online for le in leases.held.values())
+        items = sum(not le.want.online for le in leases.by_id.values())
         assert (leases.items, leases.online) == (
             items,
-            len(leases.held) - items,
+            len(leases.by_id) - items,
         )
         if given is None:
             return
