--- a/camphortray/slot_accounting.py
+++ b/camphortray/slot_accounting.py
@@ -25,9 +25,9 @@
     """
 
     def __init__(
-        self, on: configs.ExperimentsConfig = configs.ALL_ON, spread: str = ""
+        self, on: configs.ExperimentsConfig = configs.ALL_ON, salt: str = ""
     ) -> None:
-        self.table = slottable.SlotTable(on, spread)
+        self.table = slottable.SlotTable(on, salt)
         self.held = slot_queue.Leases()
         self.orphaned = orphaned_leases.OrphanedLeases()
         self.revocations = revocations.Revocations()
--- a/camphortray/slot_coordinator.py
+++ b/camphortray/slot_coordinator.py
@@ -155,7 +155,7 @@
                     "open_slots": book.use.table.open_slots(now),
                     "put_aside": {
                         name: book.room(name, now)
-                        for name in book.use.table.unsound()
+                        for name in book.use.table.unhealthy()
                     },
                     "share": round(book.use.table.share, 3),
                     "hold_s": round(book.hold_s, 3),
--- a/camphortray/slot_scheduler.py
+++ b/camphortray/slot_scheduler.py
@@ -117,10 +117,10 @@
     def __init__(
         self,
         experiments: configs.ExperimentsConfig = configs.ALL_ON,
-        spread: str = "",
+        salt: str = "",
     ) -> None:
         self.experiments = experiments
-        self.use = slot_accounting.SlotAccounting(experiments, spread)
+        self.use = slot_accounting.SlotAccounting(experiments, salt)
         self.queue: list[SlotRequest] = []
         self.items = slot_queue.ItemQueue()
         self.hold_s = INITIAL_HOLD_S
--- a/camphortray/slottable.py
+++ b/camphortray/slottable.py
@@ -1,7 +1,7 @@
-"""Slots of engines: how many are in use, and where some are free.
+"""Slots of engines: how many are in use, and which engines have free ones.
 
-Kept up with each lease rather than counted at each decision: with 600
-engines a decision that looked at all of them took milliseconds.
+The counts are updated with each lease instead of computed for each decision:
+with 600 engines a decision that examined all of them took milliseconds.
 """
 
 __all__ = ["EngineSlots", "SlotTable"]
@@ -16,14 +16,14 @@
 from camphortray import config as configs
 from camphortray import enginehealth
 
-# Fewest engines of a share: one may be put aside, and a request is tried at
-# another after a failure.
-MIN_SINGLE = 3
+# Smallest number of engines in a share: one may be put aside as unhealthy,
+# and a failed request is retried on another.
+MIN_SINGLE_ENGINES = 3
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class EngineSlots:
-    """An engine, how many requests it runs at once, and where it stands."""
+    """An engine, how many requests it runs at once, and its zone."""
 
     name: str
     slots: int
@@ -31,43 +31,45 @@
 
 
 class SlotTable:
-    """Which engines have a slot to give.
+    """Counts the used and free slots of each engine.
 
     Attributes:
       engines: Slots by engine.
       zones: Availability zone by engine.
-      health: Which engines are put aside or tried with one request.
+      health: Engines that are put aside or on trial with one request.
       used: Slots in use, by engine; also of engines that are gone.
-      on: What an ablation has not switched off.
-      spread: Own to each host, so that shares smaller than a slot of each
-        engine fall on other engines at each.
-      single: Engines that give one slot each with such a share.
+      experiments: Mechanisms in use; ablation experiments disable some.
+      salt: Differs between hosts, so that each grants slots of different
+        engines where its share is less than one slot of each engine.
+      single: Engines of which one slot each is granted with such a share.
     """
 
     def __init__(
-        self, on: configs.ExperimentsConfig = configs.ALL_ON, spread: str = ""
+        self,
+        experiments: configs.ExperimentsConfig = configs.ALL_ON,
+        salt: str = "",
     ) -> None:
-        self.on = on
-        self.spread = spread
+        self.experiments = experiments
+        self.salt = salt
         self.single: frozenset[str] = frozenset()
         self.engines: dict[str, int] = {}
         self.zones: dict[str, str] = {}
         self.health = enginehealth.HealthBook()
         self.used: dict[str, int] = {}
         self._share = 1.0
-        # Of engines of which nothing bad is known: their slots, and by
-        # zone the free ones of those that have any. The others are few,
-        # and what they may take changes with time alone.
-        self.sound: dict[str, int] = {}
-        self.sound_slots = 0
+        # Slots of healthy engines, and their free slots by zone and engine.
+        # Unhealthy engines are few, and as their slots also change with time
+        # they are counted for each decision.
+        self.healthy: dict[str, int] = {}
+        self.healthy_slots = 0
         self.free: dict[str, dict[str, int]] = {}
-        self.sound_free = 0
+        self.healthy_free = 0
 
     @property
     def share(self) -> float:
-        """Share of the slots that may be used.
+        """Share of each engine's slots that may be granted.
 
-        Below 1 where other books give out the same slots.
+        Below 1 where other coordinators grant the same slots.
         """
         return self._share
 
@@ -78,37 +80,37 @@
             self.rebuild()
 
     def set_engines(self, engines: Iterable[EngineSlots]) -> None:
-        """Take the engines that may get new work."""
-        held = list(engines)
-        self.engines = {engine.name: engine.slots for engine in held}
-        self.zones = {engine.name: engine.zone for engine in held}
+        """Replace the engines that may get new work."""
+        listed = list(engines)
+        self.engines = {engine.name: engine.slots for engine in listed}
+        self.zones = {engine.name: engine.zone for engine in listed}
         self.health.keep(self.engines)
         self.rebuild()
 
     def rebuild(self) -> None:
-        """Count all anew."""
+        """Recompute the counts of all engines."""
         self.single = self.choose_single()
-        self.sound, self.sound_slots = {}, 0
-        self.free, self.sound_free = {}, 0
+        self.healthy, self.healthy_slots = {}, 0
+        self.free, self.healthy_free = {}, 0
         for engine in self.engines:
             self.refresh(engine)
 
     def refresh(self, engine: str) -> None:
-        """Count one engine anew."""
+        """Recompute the counts of one engine."""
         zone = self.free.setdefault(self.zones.get(engine, ""), {})
-        self.sound_slots -= self.sound.pop(engine, 0)
-        self.sound_free -= zone.pop(engine, 0)
+        self.healthy_slots -= self.healthy.pop(engine, 0)
+        self.healthy_free -= zone.pop(engine, 0)
         if engine not in self.engines or engine in self.health.held:
             return
-        slots = self.sound[engine] = self.scaled(engine)
-        self.sound_slots += slots
+        slots = self.healthy[engine] = self.scaled(engine)
+        self.healthy_slots += slots
         free = slots - self.used.get(engine, 0)
         if free > 0:
             zone[engine] = free
-            self.sound_free += free
+            self.healthy_free += free
 
     def scaled(self, engine: str) -> int:
-        """Return the slots of an engine that this book may give out."""
+        """Return how many slots of an engine are in the share."""
         slots = self.engines.get(engine, 0)
         if self._share < 1.0 and slots:
             part = slots * self._share
@@ -121,13 +123,13 @@
             return frozenset()
         count = math.ceil(sum(self.engines.values()) * self._share)
         ranked = sorted(
-            self.engines, key=lambda name: affinity(self.spread, name)
+            self.engines, key=lambda name: affinity(self.salt, name)
         )
-        return frozenset(ranked[: max(MIN_SINGLE, count)])
+        return frozenset(ranked[: max(MIN_SINGLE_ENGINES, count)])
 
-    def count(self, engine: str, by: int) -> None:
+    def count(self, engine: str, change: int) -> None:
         """Change the number of slots in use at an engine."""
-        left = self.used.get(engine, 0) + by
+        left = self.used.get(engine, 0) + change
         if left:
             self.used[engine] = left
         else:
@@ -137,67 +139,70 @@
     def judge(
         self, engine: str, outcome: enginehealth.Outcome, now: float
     ) -> None:
-        """Learn from the end of a lease how its engine is."""
-        if not self.on.put_aside:
+        """Update the health of an engine by the outcome of a lease."""
+        if not self.experiments.put_aside:
             return
         self.health.judge(engine, outcome, now)
         self.refresh(engine)
 
-    def room(self, engine: str, now: float, whole: bool = False) -> int:
-        """Return the slots of an engine that may be in use.
+    def room(self, engine: str, now: float, ignore_trial: bool = False) -> int:
+        """Return how many slots of an engine may be in use.
 
         Args:
-          engine: Which.
+          engine: Name of the engine.
           now: Present time.
-          whole: Whether to leave trials out of account.
+          ignore_trial: Whether to count all slots of an engine on trial.
         """
         if engine not in self.engines:
-            # Gone, or leaving: not even for a trial.
+            # It is gone or draining, so it gets no trial request either.
             return 0
-        return self.health.room(engine, self.scaled(engine), now, whole)
+        return self.health.room(engine, self.scaled(engine), now, ignore_trial)
 
-    def unsound(self) -> list[str]:
-        """Return the engines that are put aside or tried."""
+    def unhealthy(self) -> list[str]:
+        """Return the engines that are put aside or on trial."""
         return [name for name in self.health.held if name in self.engines]
 
     def open_slots(self, now: float) -> int:
-        """Return the slots that are not put aside, in use or not."""
-        return self.sound_slots + sum(
-            self.room(name, now, whole=True) for name in self.unsound()
+        """Return the number of slots, used or free, not put aside."""
+        return self.healthy_slots + sum(
+            self.room(name, now, ignore_trial=True)
+            for name in self.unhealthy()
         )
 
     def left(self, engine: str, now: float) -> int:
-        """Return the free slots of an engine."""
+        """Return the number of free slots of an engine."""
         return max(0, self.room(engine, now) - self.used.get(engine, 0))
 
     def free_slots(self, now: float) -> int:
         """Return the number of free slots."""
-        return self.sound_free + sum(
-            self.left(name, now) for name in self.unsound()
+        return self.healthy_free + sum(
+            self.left(name, now) for name in self.unhealthy()
         )
 
     def best(
         self, prefix: str, zone: str, avoid: Set[str], now: float
     ) -> str | None:
-        """Return the engine with a free slot that suits a request best.
+        """Return the best engine with a free slot for a request, if any.
 
-        Bytes between zones are dear, and an engine with a free slot in
-        the asker's zone answers as soon as any other. Requests that share
-        a prefix meet at the same engine as long as it has room; the others
-        go where most slots are free.
+        Engines in the zone of the request go first: traffic between zones is
+        expensive, and a free slot elsewhere answers no sooner. Requests that
+        share a prefix go to the same engine while it has a free slot, for its
+        prefix cache; others go to the engine with the most free slots.
 
         Args:
-          prefix: What the request shares with others, or empty.
-          zone: Where the asker stands.
-          avoid: Engines not to be had.
+          prefix: Identifies the shared prompt prefix, or empty.
+          zone: Availability zone of the host that asks.
+          avoid: Engines that are excluded.
           now: Present time.
         """
-        prefix = prefix if self.on.prefix else ""
-        zone = zone if self.on.zone else ""
-        aside = {name: self.left(name, now) for name in self.unsound()}
+        prefix = prefix if self.experiments.prefix else ""
+        zone = zone if self.experiments.zone else ""
+        unhealthy_free = {
+            name: self.left(name, now) for name in self.unhealthy()
+        }
         near = dict(self.free.get(zone, {}))
         far: dict[str, int] = {}
-        for name, free in aside.items():
+        for name, free in unhealthy_free.items():
             if free:
                 (near if self.zones[name] == zone else far)[name] = free
         found = pick(near, prefix, avoid)
@@ -210,7 +215,7 @@
 
 
 def pick(engines: dict[str, int], prefix: str, avoid: Set[str]) -> str | None:
-    """Return the best of some engines, given their free slots."""
+    """Return the best engine, given the free slots of each."""
     names = [name for name in engines if name not in avoid]
     if not names:
         return None
@@ -220,5 +225,5 @@
 
 
 def affinity(prefix: str, engine: str) -> int:
-    """Return how well an engine suits a prefix, alike at all times."""
+    """Return the rendezvous-hash score of an engine for a prefix."""
     return xxhash.xxh64_intdigest(f"{prefix}\0{engine}".encode())
--- a/tests/test_coordinator_election.py
+++ b/tests/test_coordinator_election.py
@@ -141,16 +141,18 @@
         seen = coordinator_election.CoordinatorElection(
             name, lambda alone=alone: alone, lambda: names
         )
-        table = slottable.SlotTable(spread=name)
+        table = slottable.SlotTable(salt=name)
         table.set_engines(engines)
         table.share = seen.share_of(SERVICE, 0, 0.0)
         slots = table.free_slots(0.0)
-        assert slots >= slottable.MIN_SINGLE
+        assert slots >= slottable.MIN_SINGLE_ENGINES
         granted += slots
     # The one that coordinates grants them all; the others what serves a
     # request or two of their own.
     total = 31 * 7
-    assert granted - total <= max(hosts * slottable.MIN_SINGLE, 2.5 * total)
+    assert granted - total <= max(
+        hosts * slottable.MIN_SINGLE_ENGINES, 2.5 * total
+    )
 
 
 @pytest.mark.parametrize("seed", range(5))
--- a/tests/test_slottable.py
+++ b/tests/test_slottable.py
@@ -1,4 +1,4 @@
-"""Slots and waiting items: counts kept up agree with counts made anew."""
+"""Incremental slot counts, queues and peaks agree with a recomputation."""
 
 import random
 
@@ -16,7 +16,7 @@
 
 
 def recount(table, now):
-    """Return the free slots as a look at every engine shows them."""
+    """Return the number of free slots, computed over every engine."""
     return sum(
         max(0, table.room(name, now) - table.used.get(name, 0))
         for name in table.engines
@@ -24,7 +24,7 @@
 
 
 def engines_of(rng):
-    """Return engines of chance sizes in two zones."""
+    """Return engines of random sizes in two zones."""
     return [
         slottable.EngineSlots(f"e{n}", rng.randint(1, 4), rng.choice("ab"))
         for n in range(rng.randint(0, 6))
@@ -33,13 +33,13 @@
 
 @pytest.mark.parametrize("seed", range(40))
 def test_free_slots_are_what_a_recount_shows(seed):
-    # Leases come and end in any order, engines fail, go and come back,
-    # and the share changes. One slot counted wrong would be lost for good,
-    # or given out twice.
+    # Leases start and end, engines fail, leave and return, and the share
+    # changes, all in random order. A slot counted wrong would be lost for
+    # good or granted twice.
     rng = random.Random(seed)
-    book = slot_scheduler.SlotScheduler()
-    audit = slot_reconciler.SlotReconciler(book)
-    book.set_engines(engines_of(rng), 0.0)
+    scheduler = slot_scheduler.SlotScheduler()
+    reconciler = slot_reconciler.SlotReconciler(scheduler)
+    scheduler.set_engines(engines_of(rng), 0.0)
     now = 0.0
     for number in range(200):
         now += rng.random() / 5
@@ -56,33 +56,37 @@
                 prefix=rng.choice(("", "p")),
                 avoid=frozenset(rng.sample(["e0", "e1"], rng.randint(0, 2))),
             )
-            book.ask(want, now)
-        elif step < 0.9 and book.leases:
-            name = rng.choice(sorted(book.leases))
-            book.done(name, rng.choice(list(Outcome)), now)
+            scheduler.ask(want, now)
+        elif step < 0.9 and scheduler.leases:
+            name = rng.choice(sorted(scheduler.leases))
+            scheduler.done(name, rng.choice(list(Outcome)), now)
         elif step < 0.95:
-            book.set_engines(engines_of(rng), now)
+            scheduler.set_engines(engines_of(rng), now)
         elif step < 0.97:
-            audit.forget(rng.choice("hk"), now)
+            reconciler.forget(rng.choice("hk"), now)
         elif step < 0.98:
-            name = rng.choice(sorted(book.use.table.engines) or ["e0"])
-            audit.reported(name, rng.randrange(9), now, rng.random() < 0.3)
+            name = rng.choice(sorted(scheduler.use.table.engines) or ["e0"])
+            reconciler.reported(
+                name, rng.randrange(9), now, rng.random() < 0.3
+            )
         elif step < 0.99:
-            audit.expire_orphaned(now)
+            reconciler.expire_orphaned(now)
         else:
-            book.set_share(rng.choice((0.3, 1.0)))
-        assert book.free_slots(now) == recount(book.use.table, now)
+            scheduler.set_share(rng.choice((0.3, 1.0)))
+        assert scheduler.free_slots(now) == recount(scheduler.use.table, now)
         counts = {}
-        for lease in book.leases.values():
+        for lease in scheduler.leases.values():
             counts[lease.engine] = counts.get(lease.engine, 0) + 1
-        for name in book.use.orphaned.held:
-            counts[name] = counts.get(name, 0) + book.use.orphaned.count(name)
-        assert counts == book.used
+        for name in scheduler.use.orphaned.held:
+            counts[name] = counts.get(name, 0) + scheduler.use.orphaned.count(
+                name
+            )
+        assert counts == scheduler.used
 
 
 @pytest.mark.parametrize("seed", range(20))
 def test_items_leave_in_the_order_of_a_sort(seed):
-    # The sort is the rule: what can still be in time first, by due time.
+    # Items that can still be done in time go first, each group by due time.
     rng = random.Random(seed)
     queue = slot_queue.ItemQueue()
     for number in range(60):
@@ -101,8 +105,9 @@
 
 
 @pytest.mark.parametrize("seed", range(20))
-def test_the_item_that_gives_way_is_that_of_a_sort(seed):
-    # The rule: late ones, then those safe with least made, then the rest.
+def test_the_preempted_item_is_that_of_a_sort(seed):
+    # Late items go first, then safe ones with the least output, then the
+    # rest by slack.
     rng = random.Random(seed)
     leases = slot_queue.Leases()
     for number in range(40):
@@ -118,7 +123,7 @@
         if rng.random() < 0.3:
             leases.pop(f"i{rng.randrange(40)}")
 
-    def place(lease):
+    def rank(lease):
         if lease.slack_s < 0:
             return 0, -lease.slack_s
         if lease.slack_s >= 5.0:
@@ -131,27 +136,27 @@
             for lease in leases.by_id.values()
             if not lease.want.online and lease.engine != "e0"
         ]
-        best = min(found, key=place, default=None)
-        given = leases.preemption_candidate(lambda le: le.engine != "e0", 5.0)
-        assert given is best
+        best = min(found, key=rank, default=None)
+        chosen = leases.preemption_candidate(lambda le: le.engine != "e0", 5.0)
+        assert chosen is best
         items = sum(not le.want.online for le in leases.by_id.values())
         assert (leases.items, leases.online) == (
             items,
             len(leases.by_id) - items,
         )
-        if given is None:
+        if chosen is None:
             return
-        leases.pop(given.want.id)
+        leases.pop(chosen.want.id)
 
 
-def test_what_is_gone_does_not_pile_up():
-    # Items ask anew each time they are moved; kept for ever, the entries
-    # of what has gone would grow by some hundred thousand an hour.
-    held = priority_queue.PriorityQueue()
+def test_stale_entries_do_not_accumulate():
+    # Items ask again each time they are moved. If the heap kept stale
+    # entries, it would grow by some hundred thousand an hour.
+    queue = priority_queue.PriorityQueue()
     for number in range(5000):
-        held.add(f"i{number}", float(number), number)
-        held.drop(f"i{number}")
-    assert len(held.heap) <= priority_queue.SLACK_ENTRIES + 1
+        queue.add(f"i{number}", float(number), number)
+        queue.drop(f"i{number}")
+    assert len(queue.heap) <= priority_queue.SLACK_ENTRIES + 1
 
 
 @pytest.mark.parametrize("seed", range(20))
