--- a/camphortray/slot_accounting.py
+++ b/camphortray/slot_accounting.py
@@ -1,8 +1,8 @@
-"""Decides which slots count as in use, for the book that gives out the rest.
+"""Accounts for the slots in use by leases and by orphaned leases.
 
-A slot is in use by a lease, or by an orphan: a run whose lease has ended
-without a message of its end. The table counts both; each change is made here,
-so that no slot is lost for good or given out twice.
+An orphaned lease is one that has ended without a message from its holder, so
+that its request may still run. The slot table counts both kinds; all changes
+are made here, so that no slot is lost for good or granted twice.
 """
 
 __all__ = ["SlotAccounting"]
@@ -15,91 +15,96 @@
 
 
 class SlotAccounting:
-    """Slots of one service that are in use, and by what.
+    """The slots in use of one service, by lease.
 
     Attributes:
-      table: Slots by engine, and which are free.
-      held: Leases, and which of them give way.
-      orphaned: Slots of runs whose holder is lost.
-      revocations: Slots taken back whose holder has not answered yet.
+      table: Used and free slots by engine.
+      active: Leases, and the order in which items are preempted.
+      orphaned: Orphaned leases.
+      revocations: Revoked leases whose holder has not confirmed yet.
     """
 
     def __init__(
-        self, on: configs.ExperimentsConfig = configs.ALL_ON, salt: str = ""
+        self,
+        experiments: configs.ExperimentsConfig = configs.ALL_ON,
+        salt: str = "",
     ) -> None:
-        self.table = slottable.SlotTable(on, salt)
-        self.held = slot_queue.Leases()
+        self.table = slottable.SlotTable(experiments, salt)
+        self.active = slot_queue.Leases()
         self.orphaned = orphaned_leases.OrphanedLeases()
         self.revocations = revocations.Revocations()
 
     @property
     def leases(self) -> dict[str, slot_queue.Lease]:
-        """Leases by id of their wants."""
-        return self.held.by_id
+        """Leases by request id."""
+        return self.active.by_id
 
     # Leases.
 
     def add(self, lease: slot_queue.Lease) -> None:
-        """Count a lease."""
-        self.held.add(lease)
+        """Add a lease and count its slot as used."""
+        self.active.add(lease)
         self.table.count(lease.engine, 1)
 
-    def drop(self, name: str) -> slot_queue.Lease | None:
-        """Count a lease no more; return it, if it was there."""
-        lease = self.held.pop(name)
+    def drop(self, want_id: str) -> slot_queue.Lease | None:
+        """Remove a lease and free its slot; return it, if it was there."""
+        lease = self.active.pop(want_id)
         if lease is not None:
             self.table.count(lease.engine, -1)
         return lease
 
-    def take_back(self, lease: slot_queue.Lease, now: float) -> None:
-        """Count a lease no more, and await its holder's answer."""
+    def revoke(self, lease: slot_queue.Lease, now: float) -> None:
+        """Revoke a lease and free its slot; its holder has to confirm."""
         want = lease.want
         self.drop(want.id)
         self.revocations.add(want.id, lease.engine, want.holder, now)
 
     def lapse(self, now: float) -> None:
-        """Count on what was taken back from holders that do not answer."""
-        for name, revocation in self.revocations.lapsed(now).items():
-            self.orphaned.add(revocation.engine, name, now)
+        """Count unconfirmed revoked leases as orphaned after the timeout."""
+        for want_id, revocation in self.revocations.lapsed(now).items():
+            self.orphaned.add(revocation.engine, want_id, now)
             self.table.count(revocation.engine, 1)
 
-    # Orphans.
+    # Orphaned leases.
 
-    def orphan(self, name: str, now: float) -> None:
-        """Count on the slot of a lease that ends without a message."""
-        lease = self.held.pop(name)
+    def orphan(self, want_id: str, now: float) -> None:
+        """End a lease without a message, and count it as orphaned.
+
+        If its engine is gone, its slot is freed instead.
+        """
+        lease = self.active.pop(want_id)
         if lease is None:
             return
         if lease.engine in self.table.engines:
-            self.orphaned.add(lease.engine, name, now)
+            self.orphaned.add(lease.engine, want_id, now)
         else:
             self.table.count(lease.engine, -1)
 
-    def end_orphan(self, name: str) -> bool:
-        """Count an orphan no more whose end has come late."""
-        engine = self.orphaned.ended(name)
+    def end_orphan(self, want_id: str) -> bool:
+        """Free the slot of an orphaned lease whose end has come late."""
+        engine = self.orphaned.ended(want_id)
         if engine is not None:
             self.table.count(engine, -1)
         return engine is not None
 
     def adopt(self, lease: slot_queue.Lease) -> None:
-        """Count a lease that was not given here.
+        """Add a lease that another coordinator has granted.
 
-        A book that has just begun may have met its run at the engine
-        before its holder reported it.
+        A new coordinator may already count its request as orphaned, if the
+        report of the engine came before that of the holder.
         """
         if self.orphaned.adopt(lease.engine):
             self.table.count(lease.engine, -1)
         self.add(lease)
 
-    def found(self, engine: str, foreign: int, now: float) -> None:
-        """Take how many runs an engine has that no lease accounts for."""
+    def found(self, engine: str, unaccounted: int, now: float) -> None:
+        """Set how many requests an engine runs that have no lease."""
         known = self.orphaned.count(engine)
-        self.orphaned.reported(engine, foreign, now)
+        self.orphaned.reported(engine, unaccounted, now)
         self.table.count(engine, self.orphaned.count(engine) - known)
 
     def expire(self, now: float) -> None:
-        """Forget orphans that must be over by now."""
+        """Drop orphaned leases whose requests must have ended by now."""
         counts = {n: self.orphaned.count(n) for n in self.table.used}
         for engine in self.orphaned.expire(now):
             self.table.count(engine, -counts.get(engine, 0))
--- a/camphortray/slot_reconciler.py
+++ b/camphortray/slot_reconciler.py
@@ -102,12 +102,12 @@
             may run what no lease was ever known of.
         """
         known = self.use.orphaned.count(engine)
-        foreign = running - (self.use.table.used.get(engine, 0) - known)
+        unaccounted = running - (self.use.table.used.get(engine, 0) - known)
         if not begun:
             # A report is late: what it has over the orphans known are
             # requests that have ended since.
-            foreign = min(known, foreign)
-        self.use.found(engine, foreign, now)
+            unaccounted = min(known, unaccounted)
+        self.use.found(engine, unaccounted, now)
         return self.book.decide(now)
 
     def expire_orphaned(self, now: float) -> list[slot_scheduler.Decision]:
--- a/camphortray/slot_scheduler.py
+++ b/camphortray/slot_scheduler.py
@@ -189,9 +189,9 @@
         """Grant slots, online requests first, and refuse late requests."""
         decisions: list[Decision] = []
         self.use.lapse(now)
-        self.peaks.note(self.use.held.online, now)
+        self.peaks.note(self.use.active.online, now)
         self.serve_queue(now, decisions)
-        self.peaks.note(self.use.held.online, now)
+        self.peaks.note(self.use.active.online, now)
         self.serve_items(now, decisions)
         return decisions
 
@@ -262,7 +262,10 @@
             return True
         window_s = PAYBACK * want.start_s
         peak = self.peaks.within(window_s, now)
-        if self.use.table.free_slots(now) > peak.count - self.use.held.online:
+        if (
+            self.use.table.free_slots(now)
+            > peak.count - self.use.active.online
+        ):
             return True
         self.recheck_at = min(self.recheck_at, peak.until + window_s)
         return False
@@ -274,7 +277,7 @@
           want: The first of them.
           now: Present time.
         """
-        slots = max(1, self.use.table.open_slots(now) - self.use.held.online)
+        slots = max(1, self.use.table.open_slots(now) - self.use.active.online)
         drain_s = len(self.items) * want.work_s / slots
         threshold_s = (
             PRESSED_FACTOR * drain_s if self.experiments.pressed else -math.inf
@@ -324,7 +327,7 @@
         safe_s = SAFE_WAIT_FACTOR * self.requeue_wait_s
         for excluded in self.use.revocations.excluded_holders(now):
             fits = functools.partial(suits, excluded)
-            found = self.use.held.preemption_candidate(fits, safe_s)
+            found = self.use.active.preemption_candidate(fits, safe_s)
             if found is not None:
                 return found
         return None
@@ -333,7 +336,7 @@
         self, lease: Lease, now: float, decisions: list[Decision]
     ) -> None:
         """Revoke a lease; its holder asks for a slot again to resume."""
-        self.use.take_back(lease, now)
+        self.use.revoke(lease, now)
         decisions.append(Revoke(lease.want))
 
     def grant(
