--- a/camphortray/orphaned_leases.py
+++ b/camphortray/orphaned_leases.py
@@ -1,35 +1,35 @@
-"""Slots that runs still hold at engines after their holder was lost.
+"""Slots of engines that still run requests of a lost holder.
 
-A host that loses power closes no connection: its engines go on with what it
-had sent, batch items for seconds. A book that has only just begun knows of
-none of that either. Slots counted as free there are given out all the same,
-and the requests wait inside the engines, where nothing can be ordered.
-Measured on a day whose busiest host lost power: the first event of questions
-came after 0.7 to 1.0 s for the second after its leases were dropped.
+A host that loses power closes no connection, so engines go on running its
+requests, batch items for seconds. A new coordinator does not know of any
+running request either. If their slots are granted again, requests queue
+inside the engines, which know no priorities: on a measured day whose busiest
+host lost power, the first events of online requests took 0.7 to 1.0 s during
+the second after its leases were dropped.
 
-So a lease that ends without a message counts on as an orphan, until the
-engine's own report says that it has no such run, or the run must be over.
+A lease that ends without a message is therefore counted as orphaned until
+its engine reports that the request has ended, or until a time limit.
 """
 
-__all__ = ["LONGEST_S", "LOOK_S", "OrphanedLeases"]
+__all__ = ["LONGEST_S", "OrphanedLeases", "POLL_S"]
 
 import dataclasses
 
-# Seconds from one look at the reports of engines with orphans to the next.
-# A report is some ten ms old; a question's run takes some hundred.
-LOOK_S = 0.25
-# Longest time for which an orphan is counted where no report comes, in
-# seconds: nearly all batch items are done within it.
+# Interval at which engines with orphaned leases are polled. Their reports are
+# some 10 ms old; an online request runs for some hundreds of milliseconds.
+POLL_S = 0.25
+# Time after which an orphaned lease is dropped if no report comes: nearly all
+# batch items are done within it.
 LONGEST_S = 8.0
 
 
 @dataclasses.dataclass(slots=True)
-class Held:
-    """Orphaned leases at one engine.
+class EngineOrphans:
+    """Orphaned leases of one engine.
 
     Attributes:
-      count: Slots.
-      until: When they are over at the latest.
+      count: How many there are.
+      until: When they are dropped.
     """
 
     count: int
@@ -40,31 +40,31 @@
     """Orphaned leases of all engines.
 
     Attributes:
-      held: By engine.
-      engines: Engine of each one whose request is known, by its id.
+      held: Orphaned leases by engine.
+      engines: Engine of each orphaned lease whose request id is known.
     """
 
     def __init__(self) -> None:
-        self.held: dict[str, Held] = {}
+        self.held: dict[str, EngineOrphans] = {}
         self.engines: dict[str, str] = {}
 
     def __bool__(self) -> bool:
         return bool(self.held)
 
     def count(self, engine: str) -> int:
-        """Return the slots that orphans hold at an engine."""
+        """Return the number of orphaned leases of an engine."""
         held = self.held.get(engine)
         return held.count if held is not None else 0
 
-    def add(self, engine: str, name: str, now: float) -> None:
-        """Count a lease that has ended without a message."""
-        self.engines[name] = engine
-        held = self.held.setdefault(engine, Held(0, 0.0))
+    def add(self, engine: str, want_id: str, now: float) -> None:
+        """Add a lease that has ended without a message."""
+        self.engines[want_id] = engine
+        held = self.held.setdefault(engine, EngineOrphans(0, 0.0))
         held.count += 1
         held.until = now + LONGEST_S
 
     def adopt(self, engine: str) -> bool:
-        """Count one less, whose holder is there; return if there was one."""
+        """Remove one whose holder reports it; return if there was any."""
         held = self.held.get(engine)
         if held is None:
             return False
@@ -73,34 +73,36 @@
             self.forget(engine)
         return True
 
-    def ended(self, name: str) -> str | None:
-        """Count a lease no more whose end has come late; return its engine."""
-        engine = self.engines.pop(name, None)
+    def ended(self, want_id: str) -> str | None:
+        """Remove a lease whose end has come late; return its engine."""
+        engine = self.engines.pop(want_id, None)
         return engine if engine is not None and self.adopt(engine) else None
 
     def forget(self, engine: str) -> None:
-        """Count nothing at an engine."""
+        """Remove all orphaned leases of an engine."""
         self.held.pop(engine, None)
-        self.forget_names(engine)
+        self.forget_ids(engine)
 
-    def forget_names(self, engine: str) -> None:
-        """Take no late end for one of an engine's orphans any more."""
-        self.engines = {n: e for n, e in self.engines.items() if e != engine}
+    def forget_ids(self, engine: str) -> None:
+        """Ignore late ends of the orphaned leases of an engine."""
+        self.engines = {i: e for i, e in self.engines.items() if e != engine}
 
-    def reported(self, engine: str, foreign: int, now: float) -> None:
-        """Take how many runs an engine has that no lease accounts for."""
-        if foreign <= 0:
+    def reported(self, engine: str, unaccounted: int, now: float) -> None:
+        """Set how many requests an engine runs that have no lease."""
+        if unaccounted <= 0:
             self.forget(engine)
             return
-        held = self.held.setdefault(engine, Held(0, now + LONGEST_S))
-        if foreign < held.count:
-            # Which of them have ended is not known.
-            self.forget_names(engine)
-        held.count = foreign
+        held = self.held.setdefault(engine, EngineOrphans(0, now + LONGEST_S))
+        if unaccounted < held.count:
+            # It is not known which of them have ended.
+            self.forget_ids(engine)
+        held.count = unaccounted
 
     def expire(self, now: float) -> list[str]:
-        """Forget what must be over; return at which engines."""
-        over = [name for name, held in self.held.items() if now >= held.until]
-        for name in over:
-            self.forget(name)
-        return over
+        """Drop leases past their time limit; return their engines."""
+        expired = [
+            engine for engine, held in self.held.items() if now >= held.until
+        ]
+        for engine in expired:
+            self.forget(engine)
+        return expired
--- a/camphortray/slot_coordinator.py
+++ b/camphortray/slot_coordinator.py
@@ -219,7 +219,7 @@
                 ]
                 await asyncio.gather(*asked)
                 begun = False
-                await asyncio.sleep(orphaned_leases.LOOK_S)
+                await asyncio.sleep(orphaned_leases.POLL_S)
                 now = self.home.clock.monotonic()
                 self.act(self.reconciler.expire_orphaned(now))
         finally:
