--- a/camphortray/revocations.py
+++ b/camphortray/revocations.py
@@ -1,95 +1,97 @@
-"""Slots taken back from batch items whose holder has not said it is done.
+"""Revoked leases of batch items that their holder has not confirmed yet.
 
-The slot goes to a question at once: its holder stops the item within some
-milliseconds. A holder that has just lost power, or is cut off, stops nothing,
-and its engine runs on; yet until it is missed, in some seconds, its items are
-as good as any to give way. In a burst they gave all their slots so, and the
-questions waited behind them inside the engine: 19 of 65 were late in the
-second after a loss, some by more than a second.
+A revoked slot is granted to an online request at once, as the holder stops
+its item within some milliseconds. A holder that has lost power or is cut off
+stops nothing, though, and it takes seconds to detect that. Its items would
+all be preempted in a burst, with the online requests queued behind them in
+the engine: 19 of 65 were late in the second after a loss, some by over 1 s.
 
-So a holder that does not answer is asked for no more, and what it was asked
-for counts as an orphan until its engine says otherwise.
+No more leases are revoked from a holder that does not confirm, and those
+already revoked count as orphaned until their engine reports otherwise.
 """
 
-__all__ = ["ANSWER_S", "CONFIRM_S", "Revocation", "Revocations"]
+__all__ = ["CONFIRM_S", "Revocation", "Revocations", "SLOW_S"]
 
 import dataclasses
 
-# Time for a holder to say that it has stopped an item, in seconds. The way
-# there and back takes some milliseconds.
+# Time for a holder to confirm that it has stopped an item. The round trip
+# takes some milliseconds.
 CONFIRM_S = 0.05
-# Time after which others are asked first: in a burst six slots were taken
-# back from a dead holder within the time above.
-ANSWER_S = 0.012
+# Time without confirmation after which other holders are preferred: in a burst
+# six leases of a dead holder were revoked within the timeout above.
+SLOW_S = 0.012
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Revocation:
-    """A slot that was taken back.
+    """A revoked lease.
 
     Attributes:
-      engine: Where the item ran.
-      holder: Host that ran it.
-      asked_at: When.
+      engine: Engine that runs the item.
+      holder: Host that holds the lease.
+      revoked_at: When it was revoked.
     """
 
     engine: str
     holder: str
-    asked_at: float
+    revoked_at: float
 
 
 class Revocations:
-    """Slots taken back and not yet answered, and holders that are silent.
+    """Unconfirmed revoked leases, and holders that do not respond.
 
     Attributes:
-      held: By id of the item's want.
-      unresponsive: Holders that have not answered and not been heard of since.
+      pending: Unconfirmed revoked leases, by request id.
+      unresponsive: Holders that let the timeout pass and sent nothing since.
     """
 
     def __init__(self) -> None:
-        self.held: dict[str, Revocation] = {}
+        self.pending: dict[str, Revocation] = {}
         self.unresponsive: set[str] = set()
 
-    def add(self, name: str, engine: str, holder: str, now: float) -> None:
-        """Take note that a slot is taken back."""
-        self.held[name] = Revocation(engine, holder, now)
+    def add(self, want_id: str, engine: str, holder: str, now: float) -> None:
+        """Add a lease that is revoked now."""
+        self.pending[want_id] = Revocation(engine, holder, now)
 
-    def confirmed(self, name: str) -> None:
-        """Take note that its holder has stopped the item."""
-        revocation = self.held.pop(name, None)
+    def confirmed(self, want_id: str) -> None:
+        """Remove a lease whose holder has stopped the item."""
+        revocation = self.pending.pop(want_id, None)
         if revocation is not None:
             self.holder_responded(revocation.holder)
 
     def holder_responded(self, holder: str) -> None:
-        """Take note that a holder is there."""
+        """Note that a message of a holder has arrived."""
         self.unresponsive.discard(holder)
 
     def lapsed(self, now: float) -> dict[str, Revocation]:
-        """Return what should have been answered, by id; held no more."""
+        """Remove and return the leases past the timeout, by request id."""
         late = {
-            name: revocation
-            for name, revocation in self.held.items()
-            if now >= revocation.asked_at + CONFIRM_S
+            want_id: revocation
+            for want_id, revocation in self.pending.items()
+            if now >= revocation.revoked_at + CONFIRM_S
         }
-        for name, revocation in late.items():
-            del self.held[name]
+        for want_id, revocation in late.items():
+            del self.pending[want_id]
             self.unresponsive.add(revocation.holder)
         return late
 
     def next_look(self) -> float | None:
-        """Return when the next one lapses."""
-        asked = min((r.asked_at for r in self.held.values()), default=None)
-        return None if asked is None else asked + CONFIRM_S
+        """Return when the next timeout ends, if any."""
+        earliest_at = min(
+            (r.revoked_at for r in self.pending.values()), default=None
+        )
+        return None if earliest_at is None else earliest_at + CONFIRM_S
 
     def excluded_holders(self, now: float) -> list[set[str]]:
-        """Return holders that are not asked, at first and if need be then.
+        """Return the sets of holders to spare, in the order to try them.
 
-        At first none that is late with an answer, then only the silent.
+        The first also holds those slow to confirm, the last only unresponsive
+        ones.
         """
         late = {
             revocation.holder
-            for revocation in self.held.values()
-            if now > revocation.asked_at + ANSWER_S
+            for revocation in self.pending.values()
+            if now > revocation.revoked_at + SLOW_S
         }
         if late <= self.unresponsive:
             return [self.unresponsive]
--- a/tests/test_slot_reconciler.py
+++ b/tests/test_slot_reconciler.py
@@ -218,7 +218,7 @@
     for number, holder in enumerate("aaab"):
         book.ask(held_by(f"i{number}", holder), 0.0)
     (first, _) = book.ask(slotkit.online("q0", 1.0), 1.0)
-    late = 1.0 + 2 * revocations.ANSWER_S
+    late = 1.0 + 2 * revocations.SLOW_S
     (second, _) = book.ask(slotkit.online("q1", late), late)
     (third, _) = book.ask(slotkit.online("q2", late), late)
     holders = [d.want.holder for d in (first, second, third)]
