--- a/camphortray/slot_coordinator.py
+++ b/camphortray/slot_coordinator.py
@@ -236,7 +236,9 @@
             return
         now = self.home.clock.monotonic()
         known = self.book.use.orphaned.count(entry.name)
-        self.act(self.reconciler.reported(entry.name, running, now, begun))
+        self.act(
+            self.reconciler.on_engine_report(entry.name, running, now, begun)
+        )
         left = self.book.use.orphaned.count(entry.name)
         if left != known:
             LOG.info(
--- a/camphortray/slot_reconciler.py
+++ b/camphortray/slot_reconciler.py
@@ -1,8 +1,8 @@
 """Reconciles the slots in use with what holders and engines report.
 
-Messages get lost, hosts lose power, and a book that has just begun knows of
-nothing. Holders report all they hold, engines how much they run; the book is
-brought in line with both, and decides anew.
+Messages get lost, hosts lose power, and a new coordinator knows of no lease.
+Holders report all their leases and waiting requests, engines how many requests
+they run; the scheduler is updated from both and decides again.
 """
 
 __all__ = ["SlotReconciler"]
@@ -12,22 +12,22 @@
 from camphortray import slot_queue
 from camphortray import slot_scheduler
 
-# A lease that its holder does not name in a report made this long after
-# the grant is one whose end was lost on the way, in seconds.
-GRANT_WAY_S = 0.5
+# Age from which a lease that is missing in a report of its holder is taken to
+# have ended; until then the grant may not have arrived.
+GRANT_DELIVERY_S = 0.5
 
 
 class SlotReconciler:
-    """Sets right the book of one service.
+    """Updates the scheduler of one service from reports.
 
     Attributes:
-      book: Which.
+      scheduler: Scheduler of the service.
       use: Its slots in use.
     """
 
-    def __init__(self, book: slot_scheduler.SlotScheduler) -> None:
-        self.book = book
-        self.use = book.use
+    def __init__(self, scheduler: slot_scheduler.SlotScheduler) -> None:
+        self.scheduler = scheduler
+        self.use = scheduler.use
 
     # Reports of holders.
 
@@ -38,25 +38,25 @@
         wants: Iterable[slot_queue.SlotRequest],
         now: float,
     ) -> list[slot_scheduler.Decision]:
-        """Take all that one host holds and waits for.
+        """Apply a report of all leases and waiting requests of one host.
 
-        It heals what messages lost on the way have left behind, and is
-        how a host that has just become coordinator learns what runs.
+        Reports make up for lost messages, and tell a new coordinator which
+        requests run.
         """
         self.use.revocations.holder_responded(holder)
         self.merge_leases(holder, leases, now)
         self.merge_items(holder, wants)
-        return self.book.decide(now)
+        return self.scheduler.decide(now)
 
     def merge_leases(
         self, holder: str, leases: Iterable[slot_queue.Lease], now: float
     ) -> None:
-        """Take all leases that one host names."""
+        """Update the leases of one host to those that it reports."""
         named = {lease.want.id: lease for lease in leases}
         for name, held in list(self.use.leases.items()):
             if held.want.holder != holder or name in named:
                 continue
-            if now - held.granted_at > GRANT_WAY_S:
+            if now - held.granted_at > GRANT_DELIVERY_S:
                 self.use.orphan(name, now)
         for name, lease in named.items():
             if name not in self.use.leases:
@@ -65,8 +65,8 @@
     def merge_items(
         self, holder: str, wants: Iterable[slot_queue.SlotRequest]
     ) -> None:
-        """Take all batch items that wait at one host."""
-        items = self.book.items
+        """Update the waiting batch items of one host to those it reports."""
+        items = self.scheduler.items
         wanted = {want.id: want for want in wants}
         for want in items:
             if want.holder == holder and want.id not in wanted:
@@ -77,40 +77,42 @@
                 items.add(want)
 
     def forget(self, holder: str, now: float) -> list[slot_scheduler.Decision]:
-        """Drop all of a host that is gone."""
+        """Orphan the leases of a host that is gone; drop its requests."""
         self.use.revocations.holder_responded(holder)
         for name, lease in list(self.use.leases.items()):
             if lease.want.holder == holder:
                 self.use.orphan(name, now)
-        book = self.book
-        book.queue = [held for held in book.queue if held.holder != holder]
+        scheduler = self.scheduler
+        scheduler.queue = [
+            held for held in scheduler.queue if held.holder != holder
+        ]
         self.merge_items(holder, ())
-        return book.decide(now)
+        return scheduler.decide(now)
 
     # Reports of engines.
 
-    def reported(
-        self, engine: str, running: int, now: float, begun: bool
+    def on_engine_report(
+        self, engine: str, running: int, now: float, initial: bool
     ) -> list[slot_scheduler.Decision]:
-        """Take what an engine says of itself.
+        """Apply a report of an engine.
 
         Args:
-          engine: Which.
-          running: Requests that it runs or has queued.
+          engine: Name of the engine.
+          running: Number of requests that it runs or has queued.
           now: Present time.
-          begun: Whether the book has only just begun, so that the engine
-            may run what no lease was ever known of.
+          initial: Whether the coordinator is new, so that the engine may run
+            requests whose leases were never known here.
         """
         known = self.use.orphaned.count(engine)
         unaccounted = running - (self.use.table.used.get(engine, 0) - known)
-        if not begun:
-            # A report is late: what it has over the orphans known are
-            # requests that have ended since.
+        if not initial:
+            # Reports are delayed: requests in excess of the known orphaned
+            # leases have ended since.
             unaccounted = min(known, unaccounted)
         self.use.found(engine, unaccounted, now)
-        return self.book.decide(now)
+        return self.scheduler.decide(now)
 
     def expire_orphaned(self, now: float) -> list[slot_scheduler.Decision]:
-        """Forget runs that must be over by now."""
+        """Drop orphaned leases past their time limit."""
         self.use.expire(now)
-        return self.book.decide(now)
+        return self.scheduler.decide(now)
--- a/tests/test_slot_reconciler.py
+++ b/tests/test_slot_reconciler.py
@@ -1,4 +1,4 @@
-"""What a book of slots counts after losses, by holders and engines."""
+"""Slots in use after lost messages and hosts, by reports and time limits."""
 
 import dataclasses
 
@@ -15,8 +15,8 @@
 
 
 def test_a_report_teaches_a_new_coordinator_what_runs():
-    # The coordinator is killed; its holders turn to the next host, which
-    # knows nothing. Without their reports it would fill the engines twice.
+    # The coordinator is killed and its holders fail over to the next host,
+    # which knows no leases. Without reports it would grant used slots again.
     old, new = slotkit.scheduler_of(), slotkit.scheduler_of()
     slotkit.fill(old, 3, slotkit.item)
     slot_reconciler.SlotReconciler(new).report(
@@ -26,236 +26,241 @@
     assert new.free_slots(5.0) == 1
 
 
-def test_a_report_heals_what_was_lost_on_the_way():
-    # The end of a lease was lost: its slot would stay taken for ever. A
-    # grant on its way to its holder is no such loss.
-    book = slotkit.scheduler_of()
-    audit = slot_reconciler.SlotReconciler(book)
-    slotkit.fill(book, 2, slotkit.item)
-    assert slotkit.kinds(audit.report("h", [], [], 0.1)) == []
-    assert len(book.leases) == 2
-    audit.report("h", [], [], slot_reconciler.GRANT_WAY_S + 0.1)
-    assert not book.leases
-
-
-def test_a_host_that_is_gone_gives_all_back():
-    # As soon as its engines say that they run nothing of it any more.
-    book = slotkit.scheduler_of()
-    audit = slot_reconciler.SlotReconciler(book)
-    slotkit.fill(book, 4)
-    decisions = audit.forget("h", 0.01)
+def test_a_report_makes_up_for_a_lost_end():
+    # Without the message of its end, the slot of a lease would stay in use
+    # for ever. A grant that has not yet arrived must not count as ended.
+    scheduler = slotkit.scheduler_of()
+    reconciler = slot_reconciler.SlotReconciler(scheduler)
+    slotkit.fill(scheduler, 2, slotkit.item)
+    assert slotkit.kinds(reconciler.report("h", [], [], 0.1)) == []
+    assert len(scheduler.leases) == 2
+    reconciler.report("h", [], [], slot_reconciler.GRANT_DELIVERY_S + 0.1)
+    assert not scheduler.leases
+
+
+def test_the_slots_of_a_lost_host_are_freed():
+    # Its slots are freed once engines report that its requests have ended.
+    scheduler = slotkit.scheduler_of()
+    reconciler = slot_reconciler.SlotReconciler(scheduler)
+    slotkit.fill(scheduler, 4)
+    decisions = reconciler.forget("h", 0.01)
     other = dataclasses.replace(slotkit.online("o", 0.02), holder="other")
-    decisions += book.ask(other, 0.02)
+    decisions += scheduler.ask(other, 0.02)
     assert decisions == []
-    assert not book.leases
-    decisions += audit.reported("e0", 0, 0.03, False)
+    assert not scheduler.leases
+    decisions += reconciler.on_engine_report("e0", 0, 0.03, False)
     assert slotkit.kinds(decisions) == [("Grant", "o")]
-    assert all(le.want.holder == "other" for le in book.leases.values())
-    audit.reported("e1", 0, 0.03, False)
-    assert book.free_slots(0.03) == 3
+    assert all(le.want.holder == "other" for le in scheduler.leases.values())
+    reconciler.on_engine_report("e1", 0, 0.03, False)
+    assert scheduler.free_slots(0.03) == 3
 
 
-# Runs whose holder is lost.
+# Orphaned leases.
 
 
 @pytest.mark.parametrize(
     ("running", "free"),
     [
-        # It runs on what the lost host had sent.
+        # It still runs the requests of the lost host.
         (2, 0),
         (1, 1),
         (0, 2),
-        # Late: it has not begun what others were just given.
+        # A delayed report also counts requests that have ended since.
         (9, 0),
     ],
 )
 def test_an_engine_gives_out_no_slot_that_a_lost_host_still_holds(
     running, free
 ):
-    # The host has lost power: no connection was closed, and its engine
-    # runs on. Given out, the slot would be a place in the engine's queue.
-    book = slotkit.scheduler_of(engines=1, slots=2)
-    audit = slot_reconciler.SlotReconciler(book)
-    slotkit.fill(book, 2, slotkit.item)
-    audit.forget("h", 4.0)
-    assert book.free_slots(4.0) == 0
-    audit.reported("e0", running, 4.1, False)
-    assert book.free_slots(4.1) == free
-
-
-def test_what_a_new_book_never_knew_counts_as_well():
-    book = slotkit.scheduler_of(engines=2, slots=8)
-    audit = slot_reconciler.SlotReconciler(book)
-    audit.reported("e0", 5, 0.0, True)
-    assert book.free_slots(0.0) == 11
-    # Its own grants are none of them.
-    slotkit.fill(book, 10)
-    at_e0 = book.used["e0"] - 5
+    # The host has lost power: no connection is closed, so the engine runs on.
+    # A request granted such a slot would queue inside the engine.
+    scheduler = slotkit.scheduler_of(engines=1, slots=2)
+    reconciler = slot_reconciler.SlotReconciler(scheduler)
+    slotkit.fill(scheduler, 2, slotkit.item)
+    reconciler.forget("h", 4.0)
+    assert scheduler.free_slots(4.0) == 0
+    reconciler.on_engine_report("e0", running, 4.1, False)
+    assert scheduler.free_slots(4.1) == free
+
+
+def test_requests_a_new_coordinator_never_knew_count_as_well():
+    scheduler = slotkit.scheduler_of(engines=2, slots=8)
+    reconciler = slot_reconciler.SlotReconciler(scheduler)
+    reconciler.on_engine_report("e0", 5, 0.0, True)
+    assert scheduler.free_slots(0.0) == 11
+    # Requests granted here are not counted as orphaned.
+    slotkit.fill(scheduler, 10)
+    at_e0 = scheduler.used["e0"] - 5
     assert at_e0
-    audit.reported("e0", 5 + at_e0, 0.3, False)
-    assert book.used["e0"] == 5 + at_e0
-    audit.reported("e0", at_e0, 0.6, False)
-    assert book.used["e0"] == at_e0
-    assert not book.use.orphaned
-
-
-def test_runs_of_holders_that_tell_of_them_count_once():
-    # The coordinator is lost, and the next one asks the engines at once.
-    # What it finds there is mostly of hosts that are there, and tell of it
-    # some milliseconds later; counted twice, no slot would be free.
-    book = slotkit.scheduler_of(engines=1, slots=8)
-    audit = slot_reconciler.SlotReconciler(book)
-    audit.reported("e0", 5, 0.0, True)
+    reconciler.on_engine_report("e0", 5 + at_e0, 0.3, False)
+    assert scheduler.used["e0"] == 5 + at_e0
+    reconciler.on_engine_report("e0", at_e0, 0.6, False)
+    assert scheduler.used["e0"] == at_e0
+    assert not scheduler.use.orphaned
+
+
+def test_requests_that_a_holder_reports_count_once():
+    # A new coordinator polls the engines at once. Most requests there belong
+    # to live hosts, which report them some milliseconds later; if they counted
+    # twice, no slot would be free.
+    scheduler = slotkit.scheduler_of(engines=1, slots=8)
+    reconciler = slot_reconciler.SlotReconciler(scheduler)
+    reconciler.on_engine_report("e0", 5, 0.0, True)
     leases = [
         slot_scheduler.Lease(slotkit.online(f"q{n}"), "e0", -0.3)
         for n in range(4)
     ]
-    audit.report("h", leases, [], 0.01)
-    assert book.used["e0"] == 5
-    assert book.use.orphaned.count("e0") == 1
-    audit.reported("e0", 4, 0.3, False)
-    assert book.free_slots(0.3) == 4
+    reconciler.report("h", leases, [], 0.01)
+    assert scheduler.used["e0"] == 5
+    assert scheduler.use.orphaned.count("e0") == 1
+    reconciler.on_engine_report("e0", 4, 0.3, False)
+    assert scheduler.free_slots(0.3) == 4
 
 
 def test_runs_without_a_holder_end_where_no_report_comes():
-    book = slotkit.scheduler_of(engines=1, slots=2)
-    audit = slot_reconciler.SlotReconciler(book)
-    slotkit.fill(book, 2, slotkit.item)
-    audit.forget("h", 4.0)
-    audit.expire_orphaned(4.0 + orphaned_leases.LONGEST_S - 0.1)
-    assert book.free_slots(13.0) == 0
-    audit.expire_orphaned(4.0 + orphaned_leases.LONGEST_S)
-    assert book.free_slots(13.0) == 2
-    assert not book.used
+    scheduler = slotkit.scheduler_of(engines=1, slots=2)
+    reconciler = slot_reconciler.SlotReconciler(scheduler)
+    slotkit.fill(scheduler, 2, slotkit.item)
+    reconciler.forget("h", 4.0)
+    reconciler.expire_orphaned(4.0 + orphaned_leases.LONGEST_S - 0.1)
+    assert scheduler.free_slots(13.0) == 0
+    reconciler.expire_orphaned(4.0 + orphaned_leases.LONGEST_S)
+    assert scheduler.free_slots(13.0) == 2
+    assert not scheduler.used
 
 
 def test_a_lease_that_its_holder_no_longer_names_waits_for_a_report():
-    # Either its end was lost on the way, or the holder has started again
-    # after a loss of power. The engine knows.
-    book = slotkit.scheduler_of(engines=1, slots=2)
-    audit = slot_reconciler.SlotReconciler(book)
-    slotkit.fill(book, 2, slotkit.item)
-    audit.report("h", [], [], 1.0)
-    assert not book.leases
-    assert book.free_slots(1.0) == 0
-    audit.reported("e0", 0, 1.01, False)
-    assert book.free_slots(1.01) == 2
+    # Its end was lost, or the holder has restarted after a power loss and the
+    # request still runs. Only the engine's report can tell.
+    scheduler = slotkit.scheduler_of(engines=1, slots=2)
+    reconciler = slot_reconciler.SlotReconciler(scheduler)
+    slotkit.fill(scheduler, 2, slotkit.item)
+    reconciler.report("h", [], [], 1.0)
+    assert not scheduler.leases
+    assert scheduler.free_slots(1.0) == 0
+    reconciler.on_engine_report("e0", 0, 1.01, False)
+    assert scheduler.free_slots(1.01) == 2
 
 
-def test_a_life_that_is_over_holds_no_slots():
-    book = slotkit.scheduler_of(engines=1, slots=2)
-    audit = slot_reconciler.SlotReconciler(book)
-    slotkit.fill(book, 2, slotkit.item)
-    book.set_engines([slot_scheduler.EngineSlots("e0~2", 2)], 1.0)
-    audit.forget("h", 1.1)
-    assert book.free_slots(1.1) == 2
-    assert not book.used
+def test_a_former_incarnation_of_an_engine_holds_no_slots():
+    scheduler = slotkit.scheduler_of(engines=1, slots=2)
+    reconciler = slot_reconciler.SlotReconciler(scheduler)
+    slotkit.fill(scheduler, 2, slotkit.item)
+    scheduler.set_engines([slot_scheduler.EngineSlots("e0~2", 2)], 1.0)
+    reconciler.forget("h", 1.1)
+    assert scheduler.free_slots(1.1) == 2
+    assert not scheduler.used
 
 
-# Slots taken back from holders that do not answer.
+# Revoked leases of holders that do not confirm.
 
 
 def held_by(name, holder):
-    """Return the want of a host's item."""
+    """Return the request of a batch item of one host."""
     return dataclasses.replace(slotkit.item(name), holder=holder)
 
 
 def test_a_holder_that_stops_its_item_is_asked_again():
-    book = slotkit.scheduler_of(engines=1, slots=2)
-    book.ask(held_by("i0", "a"), 0.0)
-    book.ask(held_by("i1", "a"), 0.0)
-    (revoked, _) = book.ask(slotkit.online("q0", 1.0), 1.0)
-    book.done(revoked.want.id, Outcome.NOTHING, 1.004)
-    assert book.decide(1.0 + revocations.CONFIRM_S) == []
+    scheduler = slotkit.scheduler_of(engines=1, slots=2)
+    scheduler.ask(held_by("i0", "a"), 0.0)
+    scheduler.ask(held_by("i1", "a"), 0.0)
+    (revoked, _) = scheduler.ask(slotkit.online("q0", 1.0), 1.0)
+    scheduler.done(revoked.want.id, Outcome.NOTHING, 1.004)
+    assert scheduler.decide(1.0 + revocations.CONFIRM_S) == []
     assert (
-        slotkit.kinds(book.ask(slotkit.online("q1", 1.1), 1.1))[0][0]
+        slotkit.kinds(scheduler.ask(slotkit.online("q1", 1.1), 1.1))[0][0]
         == "Revoke"
     )
-    assert book.used == {"e0": 2}
+    assert scheduler.used == {"e0": 2}
 
 
 def test_a_holder_that_lost_power_gives_no_slots():
-    # Host a has lost power; that is known in some seconds. Its engine runs
-    # on, so a question that takes its item's slot waits inside the engine.
-    # One does, then the items of others give way, and as many slots as the
-    # engine says it has are given out.
-    book = slotkit.scheduler_of(engines=1, slots=4)
-    audit = slot_reconciler.SlotReconciler(book)
+    # Host a has lost power, which takes seconds to detect, and the engine runs
+    # on: an online request that is granted the slot of its item queues inside
+    # the engine. After one such request, items of other hosts are preempted,
+    # and the report of the engine sets the slots in use.
+    scheduler = slotkit.scheduler_of(engines=1, slots=4)
+    reconciler = slot_reconciler.SlotReconciler(scheduler)
     for number, holder in enumerate("aaab"):
-        book.ask(held_by(f"i{number}", holder), 0.0)
-    (revoked, _) = book.ask(slotkit.online("q0", 1.0), 1.0)
+        scheduler.ask(held_by(f"i{number}", holder), 0.0)
+    (revoked, _) = scheduler.ask(slotkit.online("q0", 1.0), 1.0)
     assert revoked.want.holder == "a"
-    look = book.next_look(1.0)
-    assert look == pytest.approx(1.0 + revocations.CONFIRM_S)
-    book.decide(look)
-    assert book.used == {"e0": 5}
-    (revoked, _) = book.ask(slotkit.online("q1", 1.2), 1.2)
+    expiry_at = scheduler.next_look(1.0)
+    assert expiry_at == pytest.approx(1.0 + revocations.CONFIRM_S)
+    scheduler.decide(expiry_at)
+    assert scheduler.used == {"e0": 5}
+    (revoked, _) = scheduler.ask(slotkit.online("q1", 1.2), 1.2)
     assert revoked.want.holder == "b"
-    book.done(revoked.want.id, Outcome.NOTHING, 1.204)
+    scheduler.done(revoked.want.id, Outcome.NOTHING, 1.204)
     assert "Grant" not in [
-        k for k, _ in slotkit.kinds(book.ask(slotkit.online("q2", 1.3), 1.3))
+        k
+        for k, _ in slotkit.kinds(
+            scheduler.ask(slotkit.online("q2", 1.3), 1.3)
+        )
     ]
-    audit.reported("e0", 5, 1.4, False)
-    assert book.used == {"e0": 5}
+    reconciler.on_engine_report("e0", 5, 1.4, False)
+    assert scheduler.used == {"e0": 5}
 
 
 def test_a_holder_that_is_heard_of_gives_slots_again():
-    book = slotkit.scheduler_of(engines=1, slots=2)
-    audit = slot_reconciler.SlotReconciler(book)
+    scheduler = slotkit.scheduler_of(engines=1, slots=2)
+    reconciler = slot_reconciler.SlotReconciler(scheduler)
     wants = [held_by("i0", "a"), held_by("i1", "a")]
     for want in wants:
-        book.ask(want, 0.0)
-    book.ask(slotkit.online("q0", 1.0), 1.0)
-    book.decide(1.1)
-    assert book.use.revocations.unresponsive == {"a"}
-    left = [lease for lease in book.leases.values() if not lease.want.online]
-    audit.report("a", left, [], 1.2)
-    assert not book.use.revocations.unresponsive
+        scheduler.ask(want, 0.0)
+    scheduler.ask(slotkit.online("q0", 1.0), 1.0)
+    scheduler.decide(1.1)
+    assert scheduler.use.revocations.unresponsive == {"a"}
+    left = [
+        lease for lease in scheduler.leases.values() if not lease.want.online
+    ]
+    reconciler.report("a", left, [], 1.2)
+    assert not scheduler.use.revocations.unresponsive
 
 
 def test_a_holder_that_is_slow_to_answer_is_asked_last():
-    book = slotkit.scheduler_of(engines=1, slots=4)
+    scheduler = slotkit.scheduler_of(engines=1, slots=4)
     for number, holder in enumerate("aaab"):
-        book.ask(held_by(f"i{number}", holder), 0.0)
-    (first, _) = book.ask(slotkit.online("q0", 1.0), 1.0)
+        scheduler.ask(held_by(f"i{number}", holder), 0.0)
+    (first, _) = scheduler.ask(slotkit.online("q0", 1.0), 1.0)
     late = 1.0 + 2 * revocations.SLOW_S
-    (second, _) = book.ask(slotkit.online("q1", late), late)
-    (third, _) = book.ask(slotkit.online("q2", late), late)
+    (second, _) = scheduler.ask(slotkit.online("q1", late), late)
+    (third, _) = scheduler.ask(slotkit.online("q2", late), late)
     holders = [d.want.holder for d in (first, second, third)]
     assert holders == ["a", "b", "a"]
 
 
 @pytest.mark.parametrize("lost", ["report", "revocation"])
 def test_an_orphan_whose_end_comes_late_gives_its_slot_back(lost):
-    """A slot stayed in use until its engine was asked, or for 8 s."""
-    book = slotkit.scheduler_of(engines=1, slots=2)
-    reconciler = slot_reconciler.SlotReconciler(book)
-    slotkit.fill(book, 2, slotkit.item)
+    """A slot stayed in use until its engine was polled, or for 8 s."""
+    scheduler = slotkit.scheduler_of(engines=1, slots=2)
+    reconciler = slot_reconciler.SlotReconciler(scheduler)
+    slotkit.fill(scheduler, 2, slotkit.item)
     if lost == "report":
-        # The grant lies unread at its holder, which names another lease.
-        held = book.leases["item1"]
+        # The holder has not read the grant yet and reports another lease.
+        held = scheduler.leases["item1"]
         reconciler.report("h", [held], [], 1.0)
     else:
-        # The holder stops its item after the time to confirm it.
-        book.ask(slotkit.online("q"), 1.0)
-        book.decide(1.0 + revocations.CONFIRM_S)
-    assert book.use.orphaned.count("e0") == 1
-    (late,) = {"item0", "item1"} - book.leases.keys()
-    used = book.used["e0"]
-    book.done(late, enginehealth.Outcome.NOTHING, 2.0)
-    assert not book.use.orphaned
-    assert book.used["e0"] == used - 1
-    # Once only.
-    book.done(late, enginehealth.Outcome.NOTHING, 2.0)
-    assert book.used["e0"] == used - 1
+        # The holder stops its item only after the timeout to confirm.
+        scheduler.ask(slotkit.online("q"), 1.0)
+        scheduler.decide(1.0 + revocations.CONFIRM_S)
+    assert scheduler.use.orphaned.count("e0") == 1
+    (late,) = {"item0", "item1"} - scheduler.leases.keys()
+    used = scheduler.used["e0"]
+    scheduler.done(late, enginehealth.Outcome.NOTHING, 2.0)
+    assert not scheduler.use.orphaned
+    assert scheduler.used["e0"] == used - 1
+    # A repeated end frees nothing.
+    scheduler.done(late, enginehealth.Outcome.NOTHING, 2.0)
+    assert scheduler.used["e0"] == used - 1
 
 
 def test_a_late_end_frees_no_slot_that_its_engine_has_reported_free():
-    """One of two orphans had ended; the other's slot was given out too."""
-    book = slotkit.scheduler_of(engines=1, slots=2)
-    reconciler = slot_reconciler.SlotReconciler(book)
-    slotkit.fill(book, 2, slotkit.item)
+    """One of two orphaned leases had ended; both slots were granted."""
+    scheduler = slotkit.scheduler_of(engines=1, slots=2)
+    reconciler = slot_reconciler.SlotReconciler(scheduler)
+    slotkit.fill(scheduler, 2, slotkit.item)
     reconciler.report("h", [], [], 1.0)
-    reconciler.reported("e0", 1, 1.1, False)
-    book.done("item0", enginehealth.Outcome.NOTHING, 1.2)
-    assert book.use.orphaned.count("e0") == 1
+    reconciler.on_engine_report("e0", 1, 1.1, False)
+    scheduler.done("item0", enginehealth.Outcome.NOTHING, 1.2)
+    assert scheduler.use.orphaned.count("e0") == 1
--- a/tests/test_slottable.py
+++ b/tests/test_slottable.py
@@ -66,7 +66,7 @@
             reconciler.forget(rng.choice("hk"), now)
         elif step < 0.98:
             name = rng.choice(sorted(scheduler.use.table.engines) or ["e0"])
-            reconciler.reported(
+            reconciler.on_engine_report(
                 name, rng.randrange(9), now, rng.random() < 0.3
             )
         elif step < 0.99:
