--- a/camphortray/onlinepeaks.py
+++ b/camphortray/onlinepeaks.py
@@ -1,54 +1,54 @@
-"""How many slots online requests have held at once, of late."""
+"""Recent peaks in the number of slots held by online requests."""
 
-__all__ = ["Peak", "Peaks"]
+__all__ = ["Peak", "SlidingPeaks"]
 
 import collections
 import dataclasses
 import math
 
-# Longest look back, in seconds.
-KEEP_S = 1.0
+# Longest window for which peaks are kept.
+MAX_WINDOW_S = 1.0
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Peak:
-    """The most slots in use within a time.
+    """The largest count within a window.
 
     Attributes:
-      count: Slots.
-      until: When they were last in use, or infinity if they still are.
+      count: Number of slots.
+      until: When the count ended, or infinity if it still holds.
     """
 
     count: int
     until: float
 
 
-class Peaks:
-    """The count as it went, as far as it can still be a peak.
+class SlidingPeaks:
+    """Maxima of a count over sliding windows that end now.
 
     Attributes:
-      held: Time from which on a count held, and the count; later ones are
-        lower, and each held until the next began.
+      steps: Start time and count, in order of time and decreasing in count;
+        each counts as a peak until the start of the next.
     """
 
     def __init__(self) -> None:
-        self.held: collections.deque[tuple[float, int]] = collections.deque()
+        self.steps: collections.deque[tuple[float, int]] = collections.deque()
 
     def note(self, count: int, now: float) -> None:
-        """Take the count as it is from now on."""
+        """Record the count from now on."""
         since = now
-        while self.held and self.held[-1][1] <= count:
-            # Lower, and followed by more: it can be a peak no longer. The
-            # higher one before it ended when it began.
-            since = self.held.pop()[0]
-        self.held.append((since, count))
-        while len(self.held) > 1 and self.held[1][0] <= now - KEEP_S:
-            self.held.popleft()
+        while self.steps and self.steps[-1][1] <= count:
+            # Not above the new count, so it is no longer a maximum. The higher
+            # count before it ended when it began.
+            since = self.steps.pop()[0]
+        self.steps.append((since, count))
+        while len(self.steps) > 1 and self.steps[1][0] <= now - MAX_WINDOW_S:
+            self.steps.popleft()
 
     def within(self, seconds: float, now: float) -> Peak:
-        """Return the peak of the last so many seconds."""
-        ends = [since for since, _ in self.held][1:] + [math.inf]
-        for (_, count), until in zip(self.held, ends, strict=True):
-            if until > now - min(seconds, KEEP_S):
+        """Return the peak of the last ``seconds``."""
+        ends = [since for since, _ in self.steps][1:] + [math.inf]
+        for (_, count), until in zip(self.steps, ends, strict=True):
+            if until > now - min(seconds, MAX_WINDOW_S):
                 return Peak(count, until)
         return Peak(0, math.inf)
--- a/camphortray/slot_scheduler.py
+++ b/camphortray/slot_scheduler.py
@@ -125,7 +125,7 @@
         self.items = slot_queue.ItemQueue()
         self.hold_s = INITIAL_HOLD_S
         self.requeue_wait_s = INITIAL_REQUEUE_WAIT_S
-        self.peaks = onlinepeaks.Peaks()
+        self.peaks = onlinepeaks.SlidingPeaks()
         self.recheck_at = math.inf
         self.items_from = -math.inf
 
--- a/tests/test_slottable.py
+++ b/tests/test_slottable.py
@@ -162,13 +162,13 @@
 @pytest.mark.parametrize("seed", range(20))
 def test_a_peak_is_the_most_that_held_within_a_time(seed):
     rng = random.Random(seed)
-    peaks, steps, now = onlinepeaks.Peaks(), [], 0.0
+    peaks, steps, now = onlinepeaks.SlidingPeaks(), [], 0.0
     for _ in range(200):
         now += rng.uniform(0.001, 0.1)
         count = rng.randint(0, 9)
         peaks.note(count, now)
         steps.append((now, count))
-        window_s = rng.uniform(0, onlinepeaks.KEEP_S)
+        window_s = rng.uniform(0, onlinepeaks.MAX_WINDOW_S)
         ends = [since for since, _ in steps[1:]] + [float("inf")]
         within = [
             count
