--- a/camphortray/slot_coordinator.py
+++ b/camphortray/slot_coordinator.py
@@ -1,4 +1,4 @@
-"""Gives out the slots of services that this host coordinates."""
+"""Grants the slots of the services that this host coordinates."""
 
 __all__ = ["CoordinatorHost", "SlotCoordinator", "SlotCoordinators"]
 
@@ -24,23 +24,23 @@
 LeaseEnd = slot_messages.LeaseEnd
 LeaseReport = slot_messages.LeaseReport
 SlotDecisions = slot_messages.SlotDecisions
-# A holder not heard of for this long is gone: its connections are closed
-# by then, or its next report brings all back.
+# Time without a message after which a holder is dropped. Its connections are
+# closed by then, or its next report restores its leases.
 HOLDER_S = 3.0
-# Time in which a new coordinator learns what runs, from the reports of holders
-# and engines, before it grants slots to batch items, in seconds.
-LEARN_S = 0.25
+# Time for which a new coordinator collects reports of holders and engines
+# before it grants slots to batch items.
+LEARNING_S = 0.25
 
 
 class CoordinatorHost(abc.ABC):
-    """The host that a coordinator stands on.
+    """What coordinators need of the host that they run on.
 
     Attributes:
       clock: Source of time.
-      links: To other hosts.
-      active_config: Engines as this host knows them.
-      own_name: Name of the member.
-      experiments: What an ablation switches off.
+      links: Links to other hosts.
+      active_config: Configuration and engines as this host knows them.
+      own_name: Name of this host's member.
+      experiments: Mechanisms in use; ablation experiments disable some.
     """
 
     clock: clocks.Clock
@@ -51,39 +51,42 @@
 
     @abc.abstractmethod
     def share_of(self, service: str) -> float:
-        """Return the share of the slots that this host gives out."""
+        """Return the share of the slots that this host grants."""
 
     @abc.abstractmethod
     def check_natural(self, service: str) -> None:
-        """Find out whether the host that should coordinate is silent."""
+        """Check whether the first-choice coordinator responds."""
 
     @abc.abstractmethod
     async def runs_at(self, entry: engine_registry.EngineEntry) -> int:
         """Return how many requests an engine runs or has queued.
 
         Raises:
-          UpstreamError: it does not say.
+          UpstreamError: the engine did not report.
         """
 
     @abc.abstractmethod
     def on_decisions(self, update: SlotDecisions, coordinator: str) -> None:
-        """Take what was decided on this host's own wants."""
+        """Apply the decisions on this host's own requests."""
 
 
 class SlotCoordinator:
-    """The slots of one service as this host gives them out.
+    """Grants the slots of one service.
 
     Attributes:
-      book: What decides.
-      reconciler: What sets the book right.
-      holders: Address and time of the last message, by name of member.
+      book: Scheduler of the service.
+      reconciler: Updates the scheduler from reports.
+      holders: Address of each holder and time of its last message, by name.
+      timer: Runs the scheduler when its decisions may change with time alone.
+      polling: Whether engines are being polled.
+      unresponsive: Holders last logged as unresponsive.
     """
 
-    def __init__(self, home: CoordinatorHost, service: str) -> None:
-        self.home = home
+    def __init__(self, host: CoordinatorHost, service: str) -> None:
+        self.host = host
         self.service = service
         self.book = slot_scheduler.SlotScheduler(
-            home.experiments, home.own_name
+            host.experiments, host.own_name
         )
         self.reconciler = slot_reconciler.SlotReconciler(self.book)
         self.holders: dict[str, tuple[configs.Address, float]] = {}
@@ -92,26 +95,26 @@
         self.unresponsive: frozenset[str] = frozenset()
 
     @property
-    def full(self) -> bool:
-        """Whether all slots are granted here.
+    def grants_all(self) -> bool:
+        """Whether this host grants all slots, and so polls the engines.
 
-        A book on a share is for moments, and for few requests: engines are
-        not to be asked by each of hundreds of hosts.
+        A host that grants a share does so briefly and for few requests, and
+        hundreds of hosts must not all poll the engines.
         """
         return self.book.use.table.share == 1.0
 
     def update_engines(self, now: float) -> None:
-        """Take the engines as they are now."""
-        held = self.home.active_config.engines.usable(self.service)
-        self.book.set_share(self.home.share_of(self.service))
-        found = [
+        """Pass the engines now in use to the scheduler."""
+        entries = self.host.active_config.engines.usable(self.service)
+        self.book.set_share(self.host.share_of(self.service))
+        engines = [
             slot_scheduler.EngineSlots(e.name, e.slots, e.availability_zone)
-            for e in held
+            for e in entries
         ]
-        self.act(self.book.set_engines(found, now))
+        self.act(self.book.set_engines(engines, now))
 
     def act(self, decisions: list[slot_scheduler.Decision]) -> None:
-        """Send holders what was decided."""
+        """Send decisions to their holders."""
         self.log_refusals(decisions)
         self.log_unresponsive()
         updates: dict[str, SlotDecisions] = {}
@@ -125,7 +128,7 @@
                 update.refused[decision.want.id] = decision.retry_after_s
             else:
                 revoked[holder].append(decision.want.id)
-        if self.book.use.orphaned and self.full:
+        if self.book.use.orphaned and self.grants_all:
             self.poll_engines()
         for holder, update in updates.items():
             if revoked[holder]:
@@ -136,8 +139,8 @@
         self.reschedule()
 
     def log_refusals(self, decisions: list[slot_scheduler.Decision]) -> None:
-        """Write a line for each refusal, with what decided it."""
-        now = self.home.clock.monotonic()
+        """Log each refusal with the state that led to it."""
+        now = self.host.clock.monotonic()
         for decision in decisions:
             if not isinstance(decision, slot_scheduler.Refuse):
                 continue
@@ -166,7 +169,7 @@
             )
 
     def log_unresponsive(self) -> None:
-        """Write a line for each holder that falls silent, or is back."""
+        """Log holders that became unresponsive or are so no longer."""
         silent = frozenset(self.book.use.revocations.unresponsive)
         for holder in silent - self.unresponsive:
             LOG.notice("Holder {} does not confirm revocations.", holder)
@@ -176,73 +179,73 @@
 
     def send(self, holder: str, update: SlotDecisions) -> None:
         """Send decisions to a holder."""
-        if holder == self.home.own_name:
-            self.home.on_decisions(update, holder)
+        if holder == self.host.own_name:
+            self.host.on_decisions(update, holder)
         elif holder in self.holders:
-            self.home.links.notify(self.holders[holder][0], update)
+            self.host.links.notify(self.holders[holder][0], update)
 
     def reschedule(self) -> None:
-        """Decide anew when time alone may change something."""
+        """Set the timer for the next decision that needs no event."""
         if self.timer is not None:
             self.timer.cancel()
             self.timer = None
-        now = self.home.clock.monotonic()
+        now = self.host.clock.monotonic()
         at = self.book.next_look(now)
         if at is not None:
             loop = asyncio.get_running_loop()
             self.timer = loop.call_later(max(0.001, at - now), self.on_timer)
 
     def on_timer(self) -> None:
-        """Decide anew."""
+        """Let the scheduler decide again."""
         self.timer = None
-        self.act(self.book.decide(self.home.clock.monotonic()))
+        self.act(self.book.decide(self.host.clock.monotonic()))
 
-    def poll_engines(self, begun: bool = False) -> None:
-        """Ask engines what they run, until no orphans are left.
+    def poll_engines(self, initial: bool = False) -> None:
+        """Poll engines until no orphaned leases are left.
 
         Args:
-          begun: Whether the book has only just begun.
+          initial: Whether the coordinator is new, and polls all engines once.
         """
         if not self.polling:
             self.polling = True
-            self.home.links.spawn(self.poll_until_clear(begun))
+            self.host.links.spawn(self.poll_until_clear(initial))
 
-    async def poll_until_clear(self, begun: bool) -> None:
-        """Ask all engines if the book has begun, else those in doubt."""
+    async def poll_until_clear(self, initial: bool) -> None:
+        """Poll engines with orphaned leases; if new, first all engines."""
         try:
-            while self.full and (begun or self.book.use.orphaned):
-                entries = self.home.active_config.engines.usable(self.service)
+            while self.grants_all and (initial or self.book.use.orphaned):
+                entries = self.host.active_config.engines.usable(self.service)
                 asked = [
-                    self.poll_engine(entry, begun)
+                    self.poll_engine(entry, initial)
                     for entry in entries
-                    if begun or self.book.use.orphaned.count(entry.name)
+                    if initial or self.book.use.orphaned.count(entry.name)
                 ]
                 await asyncio.gather(*asked)
-                begun = False
+                initial = False
                 await asyncio.sleep(orphaned_leases.POLL_S)
-                now = self.home.clock.monotonic()
+                now = self.host.clock.monotonic()
                 self.act(self.reconciler.expire_orphaned(now))
         finally:
             self.polling = False
 
     async def poll_engine(
-        self, entry: engine_registry.EngineEntry, begun: bool
+        self, entry: engine_registry.EngineEntry, initial: bool
     ) -> None:
-        """Take one engine's report of what it runs."""
+        """Get the report of one engine and apply it."""
         try:
-            running = await self.home.runs_at(entry)
+            running = await self.host.runs_at(entry)
         except errors.UpstreamError as error:
-            LOG.info("No report of {}: {}", entry.name, error)
+            LOG.info("No load report from engine {}: {}", entry.name, error)
             return
-        now = self.home.clock.monotonic()
+        now = self.host.clock.monotonic()
         known = self.book.use.orphaned.count(entry.name)
         self.act(
-            self.reconciler.on_engine_report(entry.name, running, now, begun)
+            self.reconciler.on_engine_report(entry.name, running, now, initial)
         )
         left = self.book.use.orphaned.count(entry.name)
         if left != known:
             LOG.info(
-                "{} runs {}, {} of them without a holder; {} before.",
+                "Engine {} runs {} requests, {} of them orphaned; {} before.",
                 entry.name,
                 running,
                 left,
@@ -250,87 +253,87 @@
             )
 
     def note_holder(self, holder: str, address: str, now: float) -> None:
-        """Take note of a holder."""
-        if holder != self.home.own_name:
-            place = configs.Address.from_text(address)
-            self.holders[holder] = place, now
+        """Record the address of a holder and the time of its message."""
+        if holder != self.host.own_name:
+            peer_address = configs.Address.from_text(address)
+            self.holders[holder] = peer_address, now
 
     def expire(self, now: float) -> None:
-        """Forget holders that have fallen silent."""
+        """Drop holders that have sent nothing for ``HOLDER_S``."""
         for holder, (_, at) in list(self.holders.items()):
             if now - at > HOLDER_S:
                 self.drop(holder, now)
 
     def drop(self, holder: str, now: float) -> None:
-        """Forget a holder."""
+        """Drop a holder."""
         if self.holders.pop(holder, None) is not None:
             self.act(self.reconciler.forget(holder, now))
 
 
 class SlotCoordinators:
-    """The services that one host coordinates, and what others ask of it.
+    """The coordinators on one host, and the messages to them.
 
     Attributes:
-      by_service: Coordinated here.
+      by_service: Coordinator by service.
     """
 
-    def __init__(self, home: CoordinatorHost) -> None:
-        self.home = home
+    def __init__(self, host: CoordinatorHost) -> None:
+        self.host = host
         self.by_service: dict[str, SlotCoordinator] = {}
 
     def start(self) -> None:
-        """Answer other hosts from now on."""
-        links = self.home.links
+        """Register the handlers of messages from other hosts."""
+        links = self.host.links
         links.on(SlotAsk, self.on_ask)
         links.on(LeaseEnd, self.on_end)
         links.on(LeaseReport, self.on_report)
 
     def stop(self) -> None:
-        """Decide nothing more."""
+        """Cancel all timers."""
         for coordinator in self.by_service.values():
             if coordinator.timer is not None:
                 coordinator.timer.cancel()
 
     def coordinator(self, service: str) -> SlotCoordinator:
-        """Return the coordinator of a service, made on first use."""
+        """Return the coordinator of a service, created on first use."""
         coordinator = self.by_service.get(service)
         if coordinator is None:
             coordinator = self.by_service[service] = SlotCoordinator(
-                self.home, service
+                self.host, service
             )
-            coordinator.update_engines(self.home.clock.monotonic())
-            if coordinator.full:
-                now = self.home.clock.monotonic()
-                coordinator.book.items_from = now + LEARN_S
-                coordinator.poll_engines(begun=True)
+            coordinator.update_engines(self.host.clock.monotonic())
+            if coordinator.grants_all:
+                now = self.host.clock.monotonic()
+                coordinator.book.items_from = now + LEARNING_S
+                coordinator.poll_engines(initial=True)
         return coordinator
 
     def holders(self, service: str) -> int:
-        """Return how many other hosts hold leases of this one."""
+        """Return the number of other hosts that ask this one for slots."""
         coordinator = self.by_service.get(service)
         return len(coordinator.holders) if coordinator is not None else 0
 
     def update_engines(self) -> None:
-        """Take the engines as they are now."""
-        now = self.home.clock.monotonic()
+        """Pass the engines now in use to all coordinators."""
+        now = self.host.clock.monotonic()
         for coordinator in self.by_service.values():
             coordinator.update_engines(now)
 
     def drop(self, member: str) -> None:
-        """Forget a member that is gone."""
-        now = self.home.clock.monotonic()
+        """Drop a member that is gone."""
+        now = self.host.clock.monotonic()
         for coordinator in self.by_service.values():
             coordinator.drop(member, now)
 
     def expire_holders(self) -> None:
-        """Forget silent holders, and fit the shares to who is there."""
-        now = self.home.clock.monotonic()
+        """Drop silent holders and orphaned leases, and update the shares."""
+        now = self.host.clock.monotonic()
         for coordinator in list(self.by_service.values()):
             coordinator.expire(now)
-            if not coordinator.full:
-                # Else as engines are polled.
+            if not coordinator.grants_all:
+                # Otherwise this is done between polls of the engines.
                 coordinator.act(coordinator.reconciler.expire_orphaned(now))
-            if coordinator.book.use.table.share != self.home.share_of(
+            if coordinator.book.use.table.share != self.host.share_of(
                 coordinator.service
             ):
                 coordinator.update_engines(now)
@@ -338,54 +341,54 @@
     async def on_ask(
         self, sender: peers.Sender, ask: SlotAsk
     ) -> SlotDecisions:
-        """Answer a host that asks for slots."""
-        now = self.home.clock.monotonic()
+        """Answer a request of a host for slots."""
+        now = self.host.clock.monotonic()
         if not ask.wants:
-            # A check whether this host answers.
+            # An empty request only checks that this host responds.
             return SlotDecisions(ask.service)
         coordinator = self.coordinator(ask.service)
         holder = str(sender)
         coordinator.note_holder(holder, ask.address, now)
-        if not coordinator.full:
-            self.home.check_natural(ask.service)
-            coordinator.book.set_share(self.home.share_of(ask.service))
+        if not coordinator.grants_all:
+            self.host.check_natural(ask.service)
+            coordinator.book.set_share(self.host.share_of(ask.service))
         decisions: list[slot_scheduler.Decision] = []
-        for text in ask.wants:
-            decisions += coordinator.book.ask(text.want(holder, now), now)
-        asked = {text.id for text in ask.wants}
-        here: list[slot_scheduler.Decision] = []
+        for wire in ask.wants:
+            decisions += coordinator.book.ask(wire.want(holder, now), now)
+        asked = {wire.id for wire in ask.wants}
+        replies: list[slot_scheduler.Decision] = []
         others: list[slot_scheduler.Decision] = []
         for decision in decisions:
-            chosen = here if decision.want.id in asked else others
-            chosen.append(decision)
+            target = replies if decision.want.id in asked else others
+            target.append(decision)
         coordinator.act(others)
-        coordinator.log_refusals(here)
+        coordinator.log_refusals(replies)
         return SlotDecisions(
             ask.service,
             {
                 d.want.id: d.engine
-                for d in here
+                for d in replies
                 if isinstance(d, slot_scheduler.Grant)
             },
             {
                 d.want.id: d.retry_after_s
-                for d in here
+                for d in replies
                 if isinstance(d, slot_scheduler.Refuse)
             },
         )
 
     async def on_end(self, sender: peers.Sender, end: LeaseEnd) -> None:
-        """Take the end of a lease or want."""
+        """Apply the end of a lease or of a waiting request."""
         coordinator = self.by_service.get(end.service)
         if coordinator is not None:
-            now = self.home.clock.monotonic()
+            now = self.host.clock.monotonic()
             coordinator.act(coordinator.book.done(end.id, end.outcome, now))
 
     async def on_report(
         self, sender: peers.Sender, report: LeaseReport
     ) -> None:
-        """Take all that a host holds."""
-        now = self.home.clock.monotonic()
+        """Apply a report of a host's leases and waiting requests."""
+        now = self.host.clock.monotonic()
         coordinator = self.coordinator(report.service)
         holder = str(sender)
         coordinator.note_holder(holder, report.address, now)
@@ -397,7 +400,7 @@
             )
             for lease in report.leases
         ]
-        wants = [text.want(holder, now) for text in report.wants]
+        wants = [wire.want(holder, now) for wire in report.wants]
         coordinator.act(
             coordinator.reconciler.report(holder, leases, wants, now)
         )
