--- a/camphortray/coordinator_election.py
+++ b/camphortray/coordinator_election.py
@@ -1,8 +1,9 @@
 """Elects the host that grants the slots of a service.
 
-It is the live host that comes first for the service by rendezvous hash. One
-that did not answer is excluded for a while by whoever has noticed; the next
-one then grants a share only, as others may not have noticed.
+The coordinator is the live host that ranks first for the service by rendezvous
+hash. A host that gets no answer from it excludes it for a while; the host
+ranked next then grants only a share of the slots, as other hosts may still
+use the first.
 """
 
 __all__ = ["CoordinatorElection"]
@@ -12,29 +13,29 @@
 from camphortray import members
 from camphortray import shards
 
-# Time for which a silent coordinator is not asked again, in seconds: by a
-# host that alone has noticed, and by all once its successor has too. The
-# latter outlasts the time in which membership suspects a host that is lost.
+# Time for which one host excludes a coordinator that did not answer.
 EXCLUDED_S = 2.0
+# Time for which all hosts exclude a coordinator whose successor got no answer
+# either. It is longer than membership takes to suspect a lost host.
 CONFIRMED_S = 6.0
-# The same of one that is listed and has never been heard of.
+# The same for a coordinator that is only listed and was never heard from.
 UNKNOWN_S = 60.0
-# Factor on the even share of the slots that a host gives out for itself:
-# callers spread unevenly, and not all hosts lose their coordinator.
-ALONE_SHARE = 1.5
+# Factor on a host's even share of the slots while it grants for itself: load
+# is uneven between hosts, and not all hosts lose their coordinator.
+FALLBACK_SHARE_FACTOR = 1.5
 
 
 class CoordinatorElection:
-    """Coordinators of all services in use, as one host sees them.
+    """Coordinators of all services in use, as seen by one host.
 
     Attributes:
       own_name: Name of this host's member.
-      live: Returns the live members of hosts.
-      possible: Returns the names of those that may be there, also those
-        not heard of yet.
+      live: Returns the live hosts.
+      possible: Returns the names of all hosts that may be alive, including
+        those not heard from yet.
       known: Coordinator by service.
-      excluded: Until when a member is not considered.
-      on_change: Called with each service whose coordinator is another now.
+      excluded: When the exclusion of a member ends, by name.
+      on_change: Called with each service whose coordinator has changed.
     """
 
     def __init__(
@@ -51,7 +52,7 @@
         self.on_change: Callable[[str], None] = lambda service: None
 
     def coordinator(self, service: str, now: float) -> str:
-        """Return the member that gives out the slots of a service."""
+        """Return the member that coordinates a service."""
         if service not in self.known:
             names = [m.name for m in self.live() if self.usable(m, now)]
             found = shards.preferred(f"slots/{service}", names)
@@ -71,10 +72,10 @@
         return {member.name for member in self.live()}
 
     def natural(self, service: str) -> str | None:
-        """Return the member that would coordinate if all were well.
+        """Return the first choice of coordinator among all possible hosts.
 
-        One that has not been heard of yet counts too: after a loss of all
-        hosts each of them would else grant all slots.
+        Hosts that have not been heard from yet are included: otherwise, after
+        a loss of all hosts, each of them would grant all slots.
         """
         return shards.preferred(f"slots/{service}", self.possible())
 
@@ -83,69 +84,71 @@
         return self.excluded.get(name, 0.0) <= now
 
     def successor(self, service: str, now: float) -> str | None:
-        """Return the member that coordinates without those excluded."""
+        """Return the first choice among the hosts that are not excluded."""
         names = [n for n in self.possible() if self.usable_name(n, now)]
         return shards.preferred(f"slots/{service}", names)
 
     def share_of(self, service: str, holders: int, now: float) -> float:
-        """Return the share of the slots that this host gives out.
+        """Return the share of the slots that this host grants.
 
         Args:
-          service: Whose slots.
-          holders: Other hosts that hold leases of this one.
+          service: Service that the slots belong to.
+          holders: Number of other hosts that ask this one for slots.
           now: Present time.
         """
         if self.natural(service) == self.own_name:
             return 1.0
         if holders and self.successor(service, now) == self.own_name:
-            # Another host could not reach those before this one either.
+            # Another host could not reach the hosts ranked before it either.
             return 1.0
         hosts = max(1, len(self.possible()))
-        alone = min(1.0, ALONE_SHARE / hosts)
-        # Where most others have failed over to this host too, the slots are
-        # its own to grant; where none has, others grant them as well.
-        return min(1.0, alone * (holders + 1))
+        base_share = min(1.0, FALLBACK_SHARE_FACTOR / hosts)
+        # The more hosts have failed over to this one, the fewer slots are
+        # granted by others.
+        return min(1.0, base_share * (holders + 1))
 
     def exclude(
         self, name: str, now: float, seconds: float = EXCLUDED_S
     ) -> None:
-        """Do not consider an unresponsive member for a while."""
+        """Exclude an unresponsive member for a while."""
         until = max(self.excluded.get(name, 0.0), now + seconds)
         self.excluded[name] = until
         self.re_elect(now)
 
     def readmit(self, now: float) -> None:
-        """Consider members again whose exclusion is over."""
-        left = {name: at for name, at in self.excluded.items() if at > now}
+        """Include members again whose exclusion has ended."""
+        left = {
+            name: until for name, until in self.excluded.items() if until > now
+        }
         if len(left) < len(self.excluded):
             self.excluded = left
             self.re_elect(now)
 
     def on_member(self, member: members.Member, now: float) -> None:
-        """Elect anew where a change of one member may matter.
+        """Repeat the elections that a change of one member may affect.
 
-        Each of hundreds of members that start at once changes a few times;
-        an election looks at all of them.
+        Hundreds of members that start at once change several times each, and
+        an election examines all members.
         """
         usable = self.usable(member, now)
         for service, name in list(self.known.items()):
             key = f"slots/{service}"
             if member.name == name:
-                better = not usable
+                affected = not usable
             else:
-                better = usable and (
+                affected = usable and (
                     shards.score(key, member.name) > shards.score(key, name)
                 )
-            if better:
+            if affected:
                 self.re_elect_service(service, now)
 
     def re_elect_service(self, service: str, now: float) -> None:
-        """Elect one coordinator anew."""
+        """Repeat the election for one service."""
         before = self.known.pop(service)
         if self.coordinator(service, now) != before:
             self.on_change(service)
 
     def re_elect(self, now: float) -> None:
-        """Elect all coordinators anew."""
+        """Repeat the elections for all services."""
         for service in list(self.known):
             self.re_elect_service(service, now)
