--- a/camphortray/slot_messages.py
+++ b/camphortray/slot_messages.py
@@ -1,6 +1,6 @@
 """Messages about the slots of a service between hosts and coordinators.
 
-Clocks of hosts differ, so times travel as seconds from now.
+Clocks of hosts differ, so times are sent relative to the time of sending.
 """
 
 __all__ = [
@@ -20,16 +20,16 @@
 from camphortray import messages
 from camphortray import slot_scheduler
 
-# Stands for no due time; travels in place of infinity.
-NEVER_S = -1.0
+# Sent instead of infinity for a request without a due time.
+NO_DUE_TIME_S = -1.0
 
 
 class WireRequest(NamedTuple):
-    """A ``slot_scheduler.SlotRequest`` as it travels, as an array.
+    """A ``slot_scheduler.SlotRequest`` as sent, encoded as an array.
 
     Attributes:
-      age_ms: Since it was first asked for.
-      due_s: Until it is due, or ``NEVER_S``.
+      age_ms: Time since the slot was first asked for.
+      due_s: Time until the due time, or ``NO_DUE_TIME_S``.
     """
 
     id: str
@@ -48,7 +48,7 @@
 
     @classmethod
     def of(cls, want: slot_scheduler.SlotRequest, now: float) -> "WireRequest":
-        """Return what travels for a want."""
+        """Return the encoding of a request."""
         due_s = want.due_at - now
         return cls(
             want.id,
@@ -57,7 +57,7 @@
             round((now - want.asked_at) * 1000),
             round(want.objective_s * 1000),
             round(want.left_s * 1000),
-            NEVER_S if math.isinf(due_s) else round(due_s, 3),
+            NO_DUE_TIME_S if math.isinf(due_s) else round(due_s, 3),
             round(want.work_s * 1000),
             want.prefix,
             tuple(want.avoid),
@@ -67,7 +67,7 @@
         )
 
     def want(self, holder: str, now: float) -> slot_scheduler.SlotRequest:
-        """Return the want that travelled."""
+        """Return the request of a holder that this encodes."""
         return slot_scheduler.SlotRequest(
             self.id,
             holder,
@@ -76,7 +76,7 @@
             now - self.age_ms / 1000,
             self.objective_ms / 1000,
             self.left_ms / 1000,
-            math.inf if self.due_s == NEVER_S else now + self.due_s,
+            math.inf if self.due_s == NO_DUE_TIME_S else now + self.due_s,
             self.work_ms / 1000,
             self.prefix,
             frozenset(self.avoid),
@@ -87,7 +87,7 @@
 
 
 class WireLease(NamedTuple):
-    """A lease as it travels."""
+    """A lease as sent, encoded as an array."""
 
     want: WireRequest
     engine: str
@@ -100,9 +100,9 @@
     """Asks a coordinator for slots.
 
     Attributes:
-      service: Whose engines.
-      address: Where the coordinator reaches the asker later.
-      wants: What is asked for.
+      service: Service whose slots are asked for.
+      address: Peer address of the sender, for later decisions.
+      wants: Requests for slots; none to check that the coordinator responds.
     """
 
     service: str
@@ -113,7 +113,7 @@
 @messages.message("place.end")
 @dataclasses.dataclass(frozen=True, slots=True)
 class LeaseEnd:
-    """The end of a request or lease, for its coordinator."""
+    """Tells a coordinator that a waiting request or a lease has ended."""
 
     service: str
     id: str
@@ -123,7 +123,7 @@
 @messages.message("place.report")
 @dataclasses.dataclass(frozen=True, slots=True)
 class LeaseReport:
-    """All that the sender holds and waits for, for its coordinator."""
+    """Tells a coordinator all leases and waiting requests of the sender."""
 
     service: str
     address: str
@@ -134,12 +134,13 @@
 @messages.message("place.word")
 @dataclasses.dataclass(frozen=True, slots=True)
 class SlotDecisions:
-    """What was decided, for a holder, in answer or later.
+    """Decisions on the requests of a holder, as a reply or sent later.
 
     Attributes:
-      granted: Engine by id of the want.
-      refused: Seconds after which to come back, by id.
-      revoked: Ids of leases that end now.
+      service: Service of the requests.
+      granted: Engine by request id.
+      refused: Seconds after which to retry, by request id.
+      revoked: Request ids of the leases that are revoked.
     """
 
     service: str
