--- a/camphortray/slot_client.py
+++ b/camphortray/slot_client.py
@@ -250,7 +250,7 @@
             await self.ask(pending)
             if not want.online:
                 return pending.granted(*await pending.answer)
-            left_s = want.objective_s * slot_scheduler.PATIENCE + SLACK_S
+            left_s = want.objective_s * slot_scheduler.MAX_WAIT_SHARE + SLACK_S
             async with timers.limit(left_s):
                 return pending.granted(*await pending.answer)
         except TimeoutError:
--- a/camphortray/slot_scheduler.py
+++ b/camphortray/slot_scheduler.py
@@ -49,7 +49,7 @@
 EWMA_WEIGHT = 0.05
 # Largest share of its time-to-first-event objective that a request may wait
 # for a slot. The rest is for the network and the prefill of the prompt.
-PATIENCE = 0.6
+MAX_WAIT_SHARE = 0.6
 # A preempted item gets its next slot within this many times the mean wait;
 # an item with less slack than that may miss its due time if preempted.
 SAFE_WAIT_FACTOR = 4
@@ -213,7 +213,9 @@
                 self.grant(want, engine, now, decisions)
                 continue
             wait_s = self.wait_s(len(waiting), now)
-            max_wait_s = want.asked_at + want.objective_s * PATIENCE - now
+            max_wait_s = (
+                want.asked_at + want.objective_s * MAX_WAIT_SHARE - now
+            )
             expected_s = wait_s if self.experiments.refuse_at_once else 0.0
             if expected_s > max_wait_s or now >= want.asked_at + want.left_s:
                 retry_after_s = self.return_in(wait_s, want)
@@ -353,7 +355,8 @@
     def next_look(self, now: float) -> float | None:
         """Return when to decide again even if no event arrives."""
         times = [
-            want.asked_at + want.objective_s * PATIENCE for want in self.queue
+            want.asked_at + want.objective_s * MAX_WAIT_SHARE
+            for want in self.queue
         ]
         if self.recheck_at < math.inf:
             times.append(self.recheck_at)
--- a/tests/test_slot_scheduler.py
+++ b/tests/test_slot_scheduler.py
@@ -90,7 +90,7 @@
     slotkit.fill(scheduler, 8)
     scheduler.ask(slotkit.online("q", 0.0), 0.0)
     at = scheduler.next_look(0.0)
-    assert at == pytest.approx(0.3 * slot_scheduler.PATIENCE)
+    assert at == pytest.approx(0.3 * slot_scheduler.MAX_WAIT_SHARE)
     assert slotkit.kinds(scheduler.decide(at + 0.001)) == [("Refuse", "q")]
 
 
