--- a/camphortray/slot_scheduler.py
+++ b/camphortray/slot_scheduler.py
@@ -61,7 +61,7 @@
 # with batch beside bursts of online requests, 6 engines of 8 slots: p99 of the
 # first event is 1.01 to 1.06 times that without batch, against 1.04 to 1.28
 # when items get free slots at once.
-PAYBACK = 6
+HOLD_BACK_FACTOR = 6
 # Holding items back leaves about 5% of the slot time idle, so it stops when
 # draining their queue takes longer than the slack of its first item divided
 # by this. Measured on two days of faults with more items than slots: holding
@@ -262,7 +262,7 @@
         """
         if not self.experiments.hold_back or self.pressed(want, now):
             return True
-        window_s = PAYBACK * want.start_s
+        window_s = HOLD_BACK_FACTOR * want.start_s
         peak = self.peaks.within(window_s, now)
         if (
             self.use.table.free_slots(now)
--- a/tests/test_slotload.py
+++ b/tests/test_slotload.py
@@ -190,7 +190,7 @@
     assert book.ask(want, 0.1) == []
     assert book.done("q", good, 0.7) == []
     look = book.next_look(0.7)
-    assert look == pytest.approx(0.7 + slot_scheduler.PAYBACK * 0.05)
+    assert look == pytest.approx(0.7 + slot_scheduler.HOLD_BACK_FACTOR * 0.05)
     (decision,) = book.decide(look + 0.001)
     assert decision == slot_scheduler.Grant(want, "e")
 
