--- a/camphortray/slot_coordinator.py
+++ b/camphortray/slot_coordinator.py
@@ -101,7 +101,7 @@
         A host that grants a share does so briefly and for few requests, and
         hundreds of hosts must not all poll the engines.
         """
-        return self.book.use.table.share == 1.0
+        return self.book.accounting.table.share == 1.0
 
     def update_engines(self, now: float) -> None:
         """Pass the engines now in use to the scheduler."""
@@ -128,7 +128,7 @@
                 update.refused[decision.want.id] = decision.retry_after_s
             else:
                 revoked[holder].append(decision.want.id)
-        if self.book.use.orphaned and self.grants_all:
+        if self.book.accounting.orphaned and self.grants_all:
             self.poll_engines()
         for holder, update in updates.items():
             if revoked[holder]:
@@ -154,13 +154,13 @@
                     "service": self.service,
                     "queued": len(book.queue),
                     "leases": len(book.leases),
-                    "engines": len(book.use.table.engines),
-                    "open_slots": book.use.table.open_slots(now),
+                    "engines": len(book.accounting.table.engines),
+                    "open_slots": book.accounting.table.open_slots(now),
                     "put_aside": {
                         name: book.room(name, now)
-                        for name in book.use.table.unhealthy()
+                        for name in book.accounting.table.unhealthy()
                     },
-                    "share": round(book.use.table.share, 3),
+                    "share": round(book.accounting.table.share, 3),
                     "hold_s": round(book.hold_s, 3),
                     "asked_ms_ago": round(
                         (now - decision.want.asked_at) * 1000
@@ -170,7 +170,7 @@
 
     def log_unresponsive(self) -> None:
         """Log holders that became unresponsive or are so no longer."""
-        silent = frozenset(self.book.use.revocations.unresponsive)
+        silent = frozenset(self.book.accounting.revocations.unresponsive)
         for holder in silent - self.unresponsive:
             LOG.notice("Holder {} does not confirm revocations.", holder)
         for holder in self.unresponsive - silent:
@@ -213,12 +213,15 @@
     async def poll_until_clear(self, initial: bool) -> None:
         """Poll engines with orphaned leases; if new, first all engines."""
         try:
-            while self.grants_all and (initial or self.book.use.orphaned):
+            while self.grants_all and (
+                initial or self.book.accounting.orphaned
+            ):
                 entries = self.host.active_config.engines.usable(self.service)
                 asked = [
                     self.poll_engine(entry, initial)
                     for entry in entries
-                    if initial or self.book.use.orphaned.count(entry.name)
+                    if initial
+                    or self.book.accounting.orphaned.count(entry.name)
                 ]
                 await asyncio.gather(*asked)
                 initial = False
@@ -238,11 +241,11 @@
             LOG.info("No load report from engine {}: {}", entry.name, error)
             return
         now = self.host.clock.monotonic()
-        known = self.book.use.orphaned.count(entry.name)
+        known = self.book.accounting.orphaned.count(entry.name)
         self.act(
             self.reconciler.on_engine_report(entry.name, running, now, initial)
         )
-        left = self.book.use.orphaned.count(entry.name)
+        left = self.book.accounting.orphaned.count(entry.name)
         if left != known:
             LOG.info(
                 "Engine {} runs {} requests, {} of them orphaned; {} before.",
@@ -333,7 +336,7 @@
             if not coordinator.grants_all:
                 # Otherwise this is done between polls of the engines.
                 coordinator.act(coordinator.reconciler.expire_orphaned(now))
-            if coordinator.book.use.table.share != self.host.share_of(
+            if coordinator.book.accounting.table.share != self.host.share_of(
                 coordinator.service
             ):
                 coordinator.update_engines(now)
--- a/camphortray/slot_reconciler.py
+++ b/camphortray/slot_reconciler.py
@@ -22,12 +22,12 @@
 
     Attributes:
       scheduler: Scheduler of the service.
-      use: Its slots in use.
+      accounting: Its slots in use.
     """
 
     def __init__(self, scheduler: slot_scheduler.SlotScheduler) -> None:
         self.scheduler = scheduler
-        self.use = scheduler.use
+        self.accounting = scheduler.accounting
 
     # Reports of holders.
 
@@ -43,7 +43,7 @@
         Reports make up for lost messages, and tell a new coordinator which
         requests run.
         """
-        self.use.revocations.holder_responded(holder)
+        self.accounting.revocations.holder_responded(holder)
         self.merge_leases(holder, leases, now)
         self.merge_items(holder, wants)
         return self.scheduler.decide(now)
@@ -53,14 +53,14 @@
     ) -> None:
         """Update the leases of one host to those that it reports."""
         named = {lease.want.id: lease for lease in leases}
-        for name, held in list(self.use.leases.items()):
+        for name, held in list(self.accounting.leases.items()):
             if held.want.holder != holder or name in named:
                 continue
             if now - held.granted_at > GRANT_DELIVERY_S:
-                self.use.orphan(name, now)
+                self.accounting.orphan(name, now)
         for name, lease in named.items():
-            if name not in self.use.leases:
-                self.use.adopt(lease)
+            if name not in self.accounting.leases:
+                self.accounting.adopt(lease)
 
     def merge_items(
         self, holder: str, wants: Iterable[slot_queue.SlotRequest]
@@ -72,16 +72,16 @@
             if want.holder == holder and want.id not in wanted:
                 items.drop(want.id)
         for name, want in wanted.items():
-            known = name in self.use.leases or name in items
+            known = name in self.accounting.leases or name in items
             if not known and not want.online:
                 items.add(want)
 
     def forget(self, holder: str, now: float) -> list[slot_scheduler.Decision]:
         """Orphan the leases of a host that is gone; drop its requests."""
-        self.use.revocations.holder_responded(holder)
-        for name, lease in list(self.use.leases.items()):
+        self.accounting.revocations.holder_responded(holder)
+        for name, lease in list(self.accounting.leases.items()):
             if lease.want.holder == holder:
-                self.use.orphan(name, now)
+                self.accounting.orphan(name, now)
         scheduler = self.scheduler
         scheduler.queue = [
             held for held in scheduler.queue if held.holder != holder
@@ -103,16 +103,18 @@
           initial: Whether the coordinator is new, so that the engine may run
             requests whose leases were never known here.
         """
-        known = self.use.orphaned.count(engine)
-        unaccounted = running - (self.use.table.used.get(engine, 0) - known)
+        known = self.accounting.orphaned.count(engine)
+        unaccounted = running - (
+            self.accounting.table.used.get(engine, 0) - known
+        )
         if not initial:
             # Reports are delayed: requests in excess of the known orphaned
             # leases have ended since.
             unaccounted = min(known, unaccounted)
-        self.use.found(engine, unaccounted, now)
+        self.accounting.found(engine, unaccounted, now)
         return self.scheduler.decide(now)
 
     def expire_orphaned(self, now: float) -> list[slot_scheduler.Decision]:
         """Drop orphaned leases past their time limit."""
-        self.use.expire(now)
+        self.accounting.expire(now)
         return self.scheduler.decide(now)
--- a/camphortray/slot_scheduler.py
+++ b/camphortray/slot_scheduler.py
@@ -102,7 +102,7 @@
     """Schedules the requests of one service.
 
     Attributes:
-      use: Leases and the number of slots in use.
+      accounting: Leases and the number of slots in use.
       queue: Online requests that wait, by priority, then by age.
       items: Batch items that wait.
       hold_s: Mean time for which an online request holds a slot.
@@ -120,7 +120,7 @@
         salt: str = "",
     ) -> None:
         self.experiments = experiments
-        self.use = slot_accounting.SlotAccounting(experiments, salt)
+        self.accounting = slot_accounting.SlotAccounting(experiments, salt)
         self.queue: list[SlotRequest] = []
         self.items = slot_queue.ItemQueue()
         self.hold_s = INITIAL_HOLD_S
@@ -132,12 +132,12 @@
     @property
     def leases(self) -> dict[str, Lease]:
         """Leases by request id."""
-        return self.use.leases
+        return self.accounting.leases
 
     @property
     def used(self) -> dict[str, int]:
         """Slots in use, by engine."""
-        return self.use.table.used
+        return self.accounting.table.used
 
     # Events.
 
@@ -145,12 +145,12 @@
         self, engines: Iterable[EngineSlots], now: float
     ) -> list[Decision]:
         """Replace the engines that may get new work."""
-        self.use.table.set_engines(engines)
+        self.accounting.table.set_engines(engines)
         return self.decide(now)
 
     def set_share(self, share: float) -> None:
         """Set the share of each engine's slots that may be granted."""
-        self.use.table.share = share
+        self.accounting.table.share = share
 
     def ask(self, want: SlotRequest, now: float) -> list[Decision]:
         """Add a request; an online one is granted, refused or queued."""
@@ -161,7 +161,7 @@
             self.items.add(want)
             return self.decide(now)
         self.queue = [held for held in self.queue if held.id != want.id]
-        if not self.use.table.engines:
+        if not self.accounting.table.engines:
             return [Refuse(want, self.return_in(self.hold_s, want))]
         self.queue.append(want)
         self.queue.sort(key=lambda held: (held.priority, held.asked_at))
@@ -172,15 +172,15 @@
     ) -> list[Decision]:
         """End the lease of a request, or remove the request if it waits."""
         self.items.drop(name)
-        self.use.revocations.confirmed(name)
+        self.accounting.revocations.confirmed(name)
         self.queue = [held for held in self.queue if held.id != name]
-        lease = self.use.drop(name)
+        lease = self.accounting.drop(name)
         if lease is None:
-            return self.decide(now) if self.use.end_orphan(name) else []
+            return self.decide(now) if self.accounting.end_orphan(name) else []
         if outcome is enginehealth.Outcome.GOOD and lease.want.online:
             held_s = now - lease.granted_at
             self.hold_s += EWMA_WEIGHT * (held_s - self.hold_s)
-        self.use.table.judge(lease.engine, outcome, now)
+        self.accounting.table.judge(lease.engine, outcome, now)
         return self.decide(now)
 
     # Decisions.
@@ -188,10 +188,10 @@
     def decide(self, now: float) -> list[Decision]:
         """Grant slots, online requests first, and refuse late requests."""
         decisions: list[Decision] = []
-        self.use.lapse(now)
-        self.peaks.note(self.use.active.online, now)
+        self.accounting.lapse(now)
+        self.peaks.note(self.accounting.active.online, now)
         self.serve_queue(now, decisions)
-        self.peaks.note(self.use.active.online, now)
+        self.peaks.note(self.accounting.active.online, now)
         self.serve_items(now, decisions)
         return decisions
 
@@ -233,7 +233,7 @@
             return
         while (
             not self.queue
-            and self.use.table.free_slots(now) > 0
+            and self.accounting.table.free_slots(now) > 0
             and len(skipped) < MAX_SKIPPED_ITEMS
         ):
             want = self.items.pop(now)
@@ -265,8 +265,8 @@
         window_s = HOLD_BACK_FACTOR * want.start_s
         peak = self.peaks.within(window_s, now)
         if (
-            self.use.table.free_slots(now)
-            > peak.count - self.use.active.online
+            self.accounting.table.free_slots(now)
+            > peak.count - self.accounting.active.online
         ):
             return True
         self.recheck_at = min(self.recheck_at, peak.until + window_s)
@@ -279,7 +279,11 @@
           want: The first of them.
           now: Present time.
         """
-        slots = max(1, self.use.table.open_slots(now) - self.use.active.online)
+        slots = max(
+            1,
+            self.accounting.table.open_slots(now)
+            - self.accounting.active.online,
+        )
         drain_s = len(self.items) * want.work_s / slots
         threshold_s = (
             PRESSED_FACTOR * drain_s if self.experiments.pressed else -math.inf
@@ -288,7 +292,7 @@
 
     def wait_s(self, ahead: int, now: float) -> float:
         """Return the expected wait for a slot behind ``ahead`` requests."""
-        open_slots = self.use.table.open_slots(now)
+        open_slots = self.accounting.table.open_slots(now)
         if not open_slots:
             return enginehealth.UNREACHED_S
         return (ahead + 1) * self.hold_s / open_slots
@@ -306,15 +310,17 @@
 
     def room(self, engine: str, now: float) -> int:
         """Return how many slots of an engine may be in use."""
-        return self.use.table.room(engine, now)
+        return self.accounting.table.room(engine, now)
 
     def free_slots(self, now: float) -> int:
         """Return the number of free slots."""
-        return self.use.table.free_slots(now)
+        return self.accounting.table.free_slots(now)
 
     def free_engine(self, want: SlotRequest, now: float) -> str | None:
         """Return the best engine with a free slot for a request."""
-        return self.use.table.best(want.prefix, want.zone, want.avoid, now)
+        return self.accounting.table.best(
+            want.prefix, want.zone, want.avoid, now
+        )
 
     def victim(self, want: SlotRequest, now: float) -> Lease | None:
         """Return the lease of the batch item to preempt, if there is one."""
@@ -323,13 +329,13 @@
             return (
                 lease.engine not in want.avoid
                 and lease.want.holder not in excluded
-                and self.use.table.room(lease.engine, now) > 0
+                and self.accounting.table.room(lease.engine, now) > 0
             )
 
         safe_s = SAFE_WAIT_FACTOR * self.requeue_wait_s
-        for excluded in self.use.revocations.excluded_holders(now):
+        for excluded in self.accounting.revocations.excluded_holders(now):
             fits = functools.partial(suits, excluded)
-            found = self.use.active.preemption_candidate(fits, safe_s)
+            found = self.accounting.active.preemption_candidate(fits, safe_s)
             if found is not None:
                 return found
         return None
@@ -338,7 +344,7 @@
         self, lease: Lease, now: float, decisions: list[Decision]
     ) -> None:
         """Revoke a lease; its holder asks for a slot again to resume."""
-        self.use.revoke(lease, now)
+        self.accounting.revoke(lease, now)
         decisions.append(Revoke(lease.want))
 
     def grant(
@@ -349,7 +355,7 @@
         decisions: list[Decision],
     ) -> None:
         """Grant a slot."""
-        self.use.add(Lease(want, engine, now))
+        self.accounting.add(Lease(want, engine, now))
         decisions.append(Grant(want, engine))
 
     def next_look(self, now: float) -> float | None:
@@ -360,9 +366,9 @@
         ]
         if self.recheck_at < math.inf:
             times.append(self.recheck_at)
-        expiry_at = self.use.revocations.next_look()
+        expiry_at = self.accounting.revocations.next_look()
         if expiry_at is not None:
             times.append(expiry_at)
         if self.queue or self.items:
-            times += self.use.table.health.openings(now)
+            times += self.accounting.table.health.openings(now)
         return min(times, default=None)
--- a/tests/test_slot_client.py
+++ b/tests/test_slot_client.py
@@ -107,11 +107,11 @@
         await platform.until(lambda: host.ready)
         served = host.part(slot_client.SlotClient).served
         book = served.coordinator(SERVICE).book
-        await platform.until(lambda: book.use.orphaned)
+        await platform.until(lambda: book.accounting.orphaned)
         assert await slotclientkit.ask(host, "a1") == 503
         assert not engine.ran
         engine.foreign = 0
-        await platform.until(lambda: not book.use.orphaned)
+        await platform.until(lambda: not book.accounting.orphaned)
         assert await slotclientkit.ask(host, "a2") == 200
 
 
@@ -128,7 +128,7 @@
         assert (
             not host.part(slot_client.SlotClient)
             .served.coordinator(SERVICE)
-            .book.use.orphaned
+            .book.accounting.orphaned
         )
 
 
@@ -212,11 +212,11 @@
         part = host.part(slot_client.SlotClient)
         coordinator = part.served.coordinator(SERVICE)
         now = part.clock.monotonic()
-        coordinator.book.use.found("i-0", 2, now)
+        coordinator.book.accounting.found("i-0", 2, now)
         coordinator.act(coordinator.book.decide(now))
         assert await slotclientkit.ask(host, "a") == 200
         assert not asked
         monkeypatch.setattr(orphaned_leases, "LONGEST_S", 0.0)
-        coordinator.book.use.orphaned.held["i-0"].until = now
+        coordinator.book.accounting.orphaned.held["i-0"].until = now
         part.served.expire_holders()
-        assert not coordinator.book.use.orphaned
+        assert not coordinator.book.accounting.orphaned
--- a/tests/test_slot_reconciler.py
+++ b/tests/test_slot_reconciler.py
@@ -96,7 +96,7 @@
     assert scheduler.used["e0"] == 5 + at_e0
     reconciler.on_engine_report("e0", at_e0, 0.6, False)
     assert scheduler.used["e0"] == at_e0
-    assert not scheduler.use.orphaned
+    assert not scheduler.accounting.orphaned
 
 
 def test_requests_that_a_holder_reports_count_once():
@@ -112,7 +112,7 @@
     ]
     reconciler.report("h", leases, [], 0.01)
     assert scheduler.used["e0"] == 5
-    assert scheduler.use.orphaned.count("e0") == 1
+    assert scheduler.accounting.orphaned.count("e0") == 1
     reconciler.on_engine_report("e0", 4, 0.3, False)
     assert scheduler.free_slots(0.3) == 4
 
@@ -210,12 +210,12 @@
         scheduler.ask(want, 0.0)
     scheduler.ask(slotkit.online("q0", 1.0), 1.0)
     scheduler.decide(1.1)
-    assert scheduler.use.revocations.unresponsive == {"a"}
+    assert scheduler.accounting.revocations.unresponsive == {"a"}
     left = [
         lease for lease in scheduler.leases.values() if not lease.want.online
     ]
     reconciler.report("a", left, [], 1.2)
-    assert not scheduler.use.revocations.unresponsive
+    assert not scheduler.accounting.revocations.unresponsive
 
 
 def test_a_holder_that_is_slow_to_answer_is_asked_last():
@@ -244,11 +244,11 @@
         # The holder stops its item only after the timeout to confirm.
         scheduler.ask(slotkit.online("q"), 1.0)
         scheduler.decide(1.0 + revocations.CONFIRM_S)
-    assert scheduler.use.orphaned.count("e0") == 1
+    assert scheduler.accounting.orphaned.count("e0") == 1
     (late,) = {"item0", "item1"} - scheduler.leases.keys()
     used = scheduler.used["e0"]
     scheduler.done(late, enginehealth.Outcome.NOTHING, 2.0)
-    assert not scheduler.use.orphaned
+    assert not scheduler.accounting.orphaned
     assert scheduler.used["e0"] == used - 1
     # A repeated end frees nothing.
     scheduler.done(late, enginehealth.Outcome.NOTHING, 2.0)
@@ -263,4 +263,4 @@
     reconciler.report("h", [], [], 1.0)
     reconciler.on_engine_report("e0", 1, 1.1, False)
     scheduler.done("item0", enginehealth.Outcome.NOTHING, 1.2)
-    assert scheduler.use.orphaned.count("e0") == 1
+    assert scheduler.accounting.orphaned.count("e0") == 1
--- a/tests/test_slotload.py
+++ b/tests/test_slotload.py
@@ -205,7 +205,7 @@
     book.ask(slot_scheduler.SlotRequest("i1", "h", False), 0.0)
     gone = book.leases["i0"].engine
     book.set_engines([e for e in engines if e.name != gone], 1.0)
-    book.use.table.judge(gone, enginehealth.Outcome.UNREACHED, 1.0)
+    book.accounting.table.judge(gone, enginehealth.Outcome.UNREACHED, 1.0)
     question = slot_scheduler.SlotRequest("q", "h", True, asked_at=2.0)
     _, decision = book.ask(question, 2.0)
     assert decision.engine != gone
--- a/tests/test_slottable.py
+++ b/tests/test_slottable.py
@@ -65,7 +65,9 @@
         elif step < 0.97:
             reconciler.forget(rng.choice("hk"), now)
         elif step < 0.98:
-            name = rng.choice(sorted(scheduler.use.table.engines) or ["e0"])
+            name = rng.choice(
+                sorted(scheduler.accounting.table.engines) or ["e0"]
+            )
             reconciler.on_engine_report(
                 name, rng.randrange(9), now, rng.random() < 0.3
             )
@@ -73,14 +75,16 @@
             reconciler.expire_orphaned(now)
         else:
             scheduler.set_share(rng.choice((0.3, 1.0)))
-        assert scheduler.free_slots(now) == recount(scheduler.use.table, now)
+        assert scheduler.free_slots(now) == recount(
+            scheduler.accounting.table, now
+        )
         counts = {}
         for lease in scheduler.leases.values():
             counts[lease.engine] = counts.get(lease.engine, 0) + 1
-        for name in scheduler.use.orphaned.held:
-            counts[name] = counts.get(name, 0) + scheduler.use.orphaned.count(
-                name
-            )
+        for name in scheduler.accounting.orphaned.held:
+            counts[name] = counts.get(
+                name, 0
+            ) + scheduler.accounting.orphaned.count(name)
         assert counts == scheduler.used
 
 
