--- a/camphortray/slot_client.py
+++ b/camphortray/slot_client.py
@@ -339,9 +339,9 @@
     def ask_here(self, pending: lease_table.Pending) -> None:
         """Ask this host's own coordinator."""
         coordinator = self.served.coordinator(pending.service)
-        coordinator.book.set_share(self.share_of(pending.service))
+        coordinator.scheduler.set_share(self.share_of(pending.service))
         now = self.clock.monotonic()
-        coordinator.act(coordinator.book.ask(pending.want, now))
+        coordinator.act(coordinator.scheduler.ask(pending.want, now))
 
     def on_decisions(self, update: SlotDecisions, coordinator: str) -> None:
         """Take what a coordinator has decided."""
@@ -411,7 +411,7 @@
         if coordinator == self.own_name:
             served = self.served.coordinator(service)
             now = self.clock.monotonic()
-            served.act(served.book.done(want_id, outcome, now))
+            served.act(served.scheduler.done(want_id, outcome, now))
             return
         member = self.members.member(coordinator)
         if member is not None and not member.dead:
--- a/camphortray/slot_coordinator.py
+++ b/camphortray/slot_coordinator.py
@@ -74,7 +74,7 @@
     """Grants the slots of one service.
 
     Attributes:
-      book: Scheduler of the service.
+      scheduler: Scheduler of the service.
       reconciler: Updates the scheduler from reports.
       holders: Address of each holder and time of its last message, by name.
       timer: Runs the scheduler when its decisions may change with time alone.
@@ -85,10 +85,10 @@
     def __init__(self, host: CoordinatorHost, service: str) -> None:
         self.host = host
         self.service = service
-        self.book = slot_scheduler.SlotScheduler(
+        self.scheduler = slot_scheduler.SlotScheduler(
             host.experiments, host.own_name
         )
-        self.reconciler = slot_reconciler.SlotReconciler(self.book)
+        self.reconciler = slot_reconciler.SlotReconciler(self.scheduler)
         self.holders: dict[str, tuple[configs.Address, float]] = {}
         self.timer: asyncio.TimerHandle | None = None
         self.polling = False
@@ -101,17 +101,17 @@
         A host that grants a share does so briefly and for few requests, and
         hundreds of hosts must not all poll the engines.
         """
-        return self.book.accounting.table.share == 1.0
+        return self.scheduler.accounting.table.share == 1.0
 
     def update_engines(self, now: float) -> None:
         """Pass the engines now in use to the scheduler."""
         entries = self.host.active_config.engines.usable(self.service)
-        self.book.set_share(self.host.share_of(self.service))
+        self.scheduler.set_share(self.host.share_of(self.service))
         engines = [
             slot_scheduler.EngineSlots(e.name, e.slots, e.availability_zone)
             for e in entries
         ]
-        self.act(self.book.set_engines(engines, now))
+        self.act(self.scheduler.set_engines(engines, now))
 
     def act(self, decisions: list[slot_scheduler.Decision]) -> None:
         """Send decisions to their holders."""
@@ -128,7 +128,7 @@
                 update.refused[decision.want.id] = decision.retry_after_s
             else:
                 revoked[holder].append(decision.want.id)
-        if self.book.accounting.orphaned and self.grants_all:
+        if self.scheduler.accounting.orphaned and self.grants_all:
             self.poll_engines()
         for holder, update in updates.items():
             if revoked[holder]:
@@ -144,7 +144,7 @@
         for decision in decisions:
             if not isinstance(decision, slot_scheduler.Refuse):
                 continue
-            book = self.book
+            scheduler = self.scheduler
             LOG.info(
                 "Slot refused to {}; retry after {:.0f} ms.",
                 decision.want.id,
@@ -152,16 +152,16 @@
                 fields={
                     "holder": decision.want.holder,
                     "service": self.service,
-                    "queued": len(book.queue),
-                    "leases": len(book.leases),
-                    "engines": len(book.accounting.table.engines),
-                    "open_slots": book.accounting.table.open_slots(now),
+                    "queued": len(scheduler.queue),
+                    "leases": len(scheduler.leases),
+                    "engines": len(scheduler.accounting.table.engines),
+                    "open_slots": scheduler.accounting.table.open_slots(now),
                     "put_aside": {
-                        name: book.room(name, now)
-                        for name in book.accounting.table.unhealthy()
+                        name: scheduler.room(name, now)
+                        for name in scheduler.accounting.table.unhealthy()
                     },
-                    "share": round(book.accounting.table.share, 3),
-                    "hold_s": round(book.hold_s, 3),
+                    "share": round(scheduler.accounting.table.share, 3),
+                    "hold_s": round(scheduler.hold_s, 3),
                     "asked_ms_ago": round(
                         (now - decision.want.asked_at) * 1000
                     ),
@@ -170,7 +170,7 @@
 
     def log_unresponsive(self) -> None:
         """Log holders that became unresponsive or are so no longer."""
-        silent = frozenset(self.book.accounting.revocations.unresponsive)
+        silent = frozenset(self.scheduler.accounting.revocations.unresponsive)
         for holder in silent - self.unresponsive:
             LOG.notice("Holder {} does not confirm revocations.", holder)
         for holder in self.unresponsive - silent:
@@ -190,7 +190,7 @@
             self.timer.cancel()
             self.timer = None
         now = self.host.clock.monotonic()
-        at = self.book.next_look(now)
+        at = self.scheduler.next_look(now)
         if at is not None:
             loop = asyncio.get_running_loop()
             self.timer = loop.call_later(max(0.001, at - now), self.on_timer)
@@ -198,7 +198,7 @@
     def on_timer(self) -> None:
         """Let the scheduler decide again."""
         self.timer = None
-        self.act(self.book.decide(self.host.clock.monotonic()))
+        self.act(self.scheduler.decide(self.host.clock.monotonic()))
 
     def poll_engines(self, initial: bool = False) -> None:
         """Poll engines until no orphaned leases are left.
@@ -214,14 +214,14 @@
         """Poll engines with orphaned leases; if new, first all engines."""
         try:
             while self.grants_all and (
-                initial or self.book.accounting.orphaned
+                initial or self.scheduler.accounting.orphaned
             ):
                 entries = self.host.active_config.engines.usable(self.service)
                 asked = [
                     self.poll_engine(entry, initial)
                     for entry in entries
                     if initial
-                    or self.book.accounting.orphaned.count(entry.name)
+                    or self.scheduler.accounting.orphaned.count(entry.name)
                 ]
                 await asyncio.gather(*asked)
                 initial = False
@@ -241,11 +241,11 @@
             LOG.info("No load report from engine {}: {}", entry.name, error)
             return
         now = self.host.clock.monotonic()
-        known = self.book.accounting.orphaned.count(entry.name)
+        known = self.scheduler.accounting.orphaned.count(entry.name)
         self.act(
             self.reconciler.on_engine_report(entry.name, running, now, initial)
         )
-        left = self.book.accounting.orphaned.count(entry.name)
+        left = self.scheduler.accounting.orphaned.count(entry.name)
         if left != known:
             LOG.info(
                 "Engine {} runs {} requests, {} of them orphaned; {} before.",
@@ -307,7 +307,7 @@
             coordinator.update_engines(self.host.clock.monotonic())
             if coordinator.grants_all:
                 now = self.host.clock.monotonic()
-                coordinator.book.items_from = now + LEARNING_S
+                coordinator.scheduler.items_from = now + LEARNING_S
                 coordinator.poll_engines(initial=True)
         return coordinator
 
@@ -336,8 +336,9 @@
             if not coordinator.grants_all:
                 # Otherwise this is done between polls of the engines.
                 coordinator.act(coordinator.reconciler.expire_orphaned(now))
-            if coordinator.book.accounting.table.share != self.host.share_of(
-                coordinator.service
+            if (
+                coordinator.scheduler.accounting.table.share
+                != self.host.share_of(coordinator.service)
             ):
                 coordinator.update_engines(now)
 
@@ -354,10 +355,10 @@
         coordinator.note_holder(holder, ask.address, now)
         if not coordinator.grants_all:
             self.host.check_natural(ask.service)
-            coordinator.book.set_share(self.host.share_of(ask.service))
+            coordinator.scheduler.set_share(self.host.share_of(ask.service))
         decisions: list[slot_scheduler.Decision] = []
         for wire in ask.wants:
-            decisions += coordinator.book.ask(wire.want(holder, now), now)
+            decisions += coordinator.scheduler.ask(wire.want(holder, now), now)
         asked = {wire.id for wire in ask.wants}
         replies: list[slot_scheduler.Decision] = []
         others: list[slot_scheduler.Decision] = []
@@ -385,7 +386,9 @@
         coordinator = self.by_service.get(end.service)
         if coordinator is not None:
             now = self.host.clock.monotonic()
-            coordinator.act(coordinator.book.done(end.id, end.outcome, now))
+            coordinator.act(
+                coordinator.scheduler.done(end.id, end.outcome, now)
+            )
 
     async def on_report(
         self, sender: peers.Sender, report: LeaseReport
--- a/tests/test_enginelives.py
+++ b/tests/test_enginelives.py
@@ -62,7 +62,7 @@
         await platform.register(engine, sequence=2)
         await platform.until(lambda: lives(host) == {f"i-0~{BORN}"})
         served = host.part(slot_client.SlotClient).served
-        book = served.coordinator(SERVICE).book
+        book = served.coordinator(SERVICE).scheduler
         book.accounting.table.count(f"i-0~{BORN}", 8)
         engine.start_again(BORN + 1)
         await platform.register(engine, sequence=1)
--- a/tests/test_lease_reporting.py
+++ b/tests/test_lease_reporting.py
@@ -33,14 +33,15 @@
         await platform.until(
             lambda: (
                 SERVICE in held.served.by_service
-                and "running.0" in held.served.by_service[SERVICE].book.leases
+                and "running.0"
+                in held.served.by_service[SERVICE].scheduler.leases
             )
         )
         for engine in platform.engines.values():
             engine.go.set()
         assert await asking == 200
         await platform.until(
-            lambda: not held.served.by_service[SERVICE].book.leases
+            lambda: not held.served.by_service[SERVICE].scheduler.leases
         )
 
 
@@ -60,7 +61,9 @@
         assert await slotclientkit.ask(other, "a") == 200
         assert lost
         book = (
-            chief.part(slot_client.SlotClient).served.by_service[SERVICE].book
+            chief.part(slot_client.SlotClient)
+            .served.by_service[SERVICE]
+            .scheduler
         )
         assert "a.0" in book.leases
         for engine in platform.engines.values():
@@ -96,7 +99,7 @@
     """Return the books of slots of all hosts, by name."""
     parts = [host.part(slot_client.SlotClient) for host in platform.hosts]
     return {
-        part.own_name: part.served.by_service[SERVICE].book
+        part.own_name: part.served.by_service[SERVICE].scheduler
         for part in parts
         if SERVICE in part.served.by_service
     }
--- a/tests/test_slot_client.py
+++ b/tests/test_slot_client.py
@@ -31,7 +31,9 @@
         ]
         assert set(await asyncio.gather(*asks)) == {200}
         book = (
-            chief.part(slot_client.SlotClient).served.by_service[SERVICE].book
+            chief.part(slot_client.SlotClient)
+            .served.by_service[SERVICE]
+            .scheduler
         )
         await platform.until(lambda: not book.leases)
         assert not book.used
@@ -106,7 +108,7 @@
         host = await platform.add("host-0")
         await platform.until(lambda: host.ready)
         served = host.part(slot_client.SlotClient).served
-        book = served.coordinator(SERVICE).book
+        book = served.coordinator(SERVICE).scheduler
         await platform.until(lambda: book.accounting.orphaned)
         assert await slotclientkit.ask(host, "a1") == 503
         assert not engine.ran
@@ -128,7 +130,7 @@
         assert (
             not host.part(slot_client.SlotClient)
             .served.coordinator(SERVICE)
-            .book.accounting.orphaned
+            .scheduler.accounting.orphaned
         )
 
 
@@ -212,11 +214,11 @@
         part = host.part(slot_client.SlotClient)
         coordinator = part.served.coordinator(SERVICE)
         now = part.clock.monotonic()
-        coordinator.book.accounting.found("i-0", 2, now)
-        coordinator.act(coordinator.book.decide(now))
+        coordinator.scheduler.accounting.found("i-0", 2, now)
+        coordinator.act(coordinator.scheduler.decide(now))
         assert await slotclientkit.ask(host, "a") == 200
         assert not asked
         monkeypatch.setattr(orphaned_leases, "LONGEST_S", 0.0)
-        coordinator.book.accounting.orphaned.held["i-0"].until = now
+        coordinator.scheduler.accounting.orphaned.held["i-0"].until = now
         part.served.expire_holders()
-        assert not coordinator.book.accounting.orphaned
+        assert not coordinator.scheduler.accounting.orphaned
