--- a/camphortray/lease_reporting.py
+++ b/camphortray/lease_reporting.py
@@ -98,7 +98,7 @@
         wants = [p.want for p in waiting if not p.answer.done()]
         if name == holder.own_name:
             coordinator = holder.served.coordinator(service)
-            coordinator.act(
+            coordinator.send_decisions(
                 coordinator.reconciler.report(name, leases, wants, now)
             )
         elif held or waiting or self.reported_to.get(service) == name:
--- a/camphortray/slot_client.py
+++ b/camphortray/slot_client.py
@@ -341,7 +341,9 @@
         coordinator = self.served.coordinator(pending.service)
         coordinator.scheduler.set_share(self.share_of(pending.service))
         now = self.clock.monotonic()
-        coordinator.act(coordinator.scheduler.ask(pending.want, now))
+        coordinator.send_decisions(
+            coordinator.scheduler.ask(pending.want, now)
+        )
 
     def on_decisions(self, update: SlotDecisions, coordinator: str) -> None:
         """Take what a coordinator has decided."""
@@ -411,7 +413,7 @@
         if coordinator == self.own_name:
             served = self.served.coordinator(service)
             now = self.clock.monotonic()
-            served.act(served.scheduler.done(want_id, outcome, now))
+            served.send_decisions(served.scheduler.done(want_id, outcome, now))
             return
         member = self.members.member(coordinator)
         if member is not None and not member.dead:
--- a/camphortray/slot_coordinator.py
+++ b/camphortray/slot_coordinator.py
@@ -111,9 +111,9 @@
             slot_scheduler.EngineSlots(e.name, e.slots, e.availability_zone)
             for e in entries
         ]
-        self.act(self.scheduler.set_engines(engines, now))
+        self.send_decisions(self.scheduler.set_engines(engines, now))
 
-    def act(self, decisions: list[slot_scheduler.Decision]) -> None:
+    def send_decisions(self, decisions: list[slot_scheduler.Decision]) -> None:
         """Send decisions to their holders."""
         self.log_refusals(decisions)
         self.log_unresponsive()
@@ -198,7 +198,7 @@
     def on_timer(self) -> None:
         """Let the scheduler decide again."""
         self.timer = None
-        self.act(self.scheduler.decide(self.host.clock.monotonic()))
+        self.send_decisions(self.scheduler.decide(self.host.clock.monotonic()))
 
     def poll_engines(self, initial: bool = False) -> None:
         """Poll engines until no orphaned leases are left.
@@ -227,7 +227,7 @@
                 initial = False
                 await asyncio.sleep(orphaned_leases.POLL_S)
                 now = self.host.clock.monotonic()
-                self.act(self.reconciler.expire_orphaned(now))
+                self.send_decisions(self.reconciler.expire_orphaned(now))
         finally:
             self.polling = False
 
@@ -242,7 +242,7 @@
             return
         now = self.host.clock.monotonic()
         known = self.scheduler.accounting.orphaned.count(entry.name)
-        self.act(
+        self.send_decisions(
             self.reconciler.on_engine_report(entry.name, running, now, initial)
         )
         left = self.scheduler.accounting.orphaned.count(entry.name)
@@ -270,7 +270,7 @@
     def drop(self, holder: str, now: float) -> None:
         """Drop a holder."""
         if self.holders.pop(holder, None) is not None:
-            self.act(self.reconciler.forget(holder, now))
+            self.send_decisions(self.reconciler.forget(holder, now))
 
 
 class SlotCoordinators:
@@ -335,7 +335,9 @@
             coordinator.expire(now)
             if not coordinator.grants_all:
                 # Otherwise this is done between polls of the engines.
-                coordinator.act(coordinator.reconciler.expire_orphaned(now))
+                coordinator.send_decisions(
+                    coordinator.reconciler.expire_orphaned(now)
+                )
             if (
                 coordinator.scheduler.accounting.table.share
                 != self.host.share_of(coordinator.service)
@@ -365,7 +367,7 @@
         for decision in decisions:
             target = replies if decision.want.id in asked else others
             target.append(decision)
-        coordinator.act(others)
+        coordinator.send_decisions(others)
         coordinator.log_refusals(replies)
         return SlotDecisions(
             ask.service,
@@ -386,7 +388,7 @@
         coordinator = self.by_service.get(end.service)
         if coordinator is not None:
             now = self.host.clock.monotonic()
-            coordinator.act(
+            coordinator.send_decisions(
                 coordinator.scheduler.done(end.id, end.outcome, now)
             )
 
@@ -407,6 +409,6 @@
             for lease in report.leases
         ]
         wants = [wire.want(holder, now) for wire in report.wants]
-        coordinator.act(
+        coordinator.send_decisions(
             coordinator.reconciler.report(holder, leases, wants, now)
         )
--- a/tests/test_slot_client.py
+++ b/tests/test_slot_client.py
@@ -215,7 +215,7 @@
         coordinator = part.served.coordinator(SERVICE)
         now = part.clock.monotonic()
         coordinator.scheduler.accounting.found("i-0", 2, now)
-        coordinator.act(coordinator.scheduler.decide(now))
+        coordinator.send_decisions(coordinator.scheduler.decide(now))
         assert await slotclientkit.ask(host, "a") == 200
         assert not asked
         monkeypatch.setattr(orphaned_leases, "LONGEST_S", 0.0)
