--- a/camphortray/coordinator_election.py
+++ b/camphortray/coordinator_election.py
@@ -71,7 +71,7 @@
         """Return the names of live members."""
         return {member.name for member in self.live()}
 
-    def natural(self, service: str) -> str | None:
+    def first_choice(self, service: str) -> str | None:
         """Return the first choice of coordinator among all possible hosts.
 
         Hosts that have not been heard from yet are included: otherwise, after
@@ -96,7 +96,7 @@
           holders: Number of other hosts that ask this one for slots.
           now: Present time.
         """
-        if self.natural(service) == self.own_name:
+        if self.first_choice(service) == self.own_name:
             return 1.0
         if holders and self.successor(service, now) == self.own_name:
             # Another host could not reach the hosts ranked before it either.
--- a/camphortray/slot_client.py
+++ b/camphortray/slot_client.py
@@ -127,13 +127,13 @@
         now = self.clock.monotonic()
         return self.coordinators.share_of(service, holders, now)
 
-    def check_natural(self, service: str) -> None:
+    def check_first_choice(self, service: str) -> None:
         """Find out whether the host that should coordinate is silent.
 
         Called as another host, which could not reach it, asks this one.
         """
         now = self.clock.monotonic()
-        name = self.coordinators.natural(service) or self.own_name
+        name = self.coordinators.first_choice(service) or self.own_name
         if name == self.own_name or name in self.checking:
             return
         if self.coordinators.usable_name(name, now):
--- a/camphortray/slot_coordinator.py
+++ b/camphortray/slot_coordinator.py
@@ -54,7 +54,7 @@
         """Return the share of the slots that this host grants."""
 
     @abc.abstractmethod
-    def check_natural(self, service: str) -> None:
+    def check_first_choice(self, service: str) -> None:
         """Check whether the first-choice coordinator responds."""
 
     @abc.abstractmethod
@@ -356,7 +356,7 @@
         holder = str(sender)
         coordinator.note_holder(holder, ask.address, now)
         if not coordinator.grants_all:
-            self.host.check_natural(ask.service)
+            self.host.check_first_choice(ask.service)
             coordinator.scheduler.set_share(self.host.share_of(ask.service))
         decisions: list[slot_scheduler.Decision] = []
         for wire in ask.wants:
