--- a/camphortray/revocations.py
+++ b/camphortray/revocations.py
@@ -75,7 +75,7 @@
             self.unresponsive.add(revocation.holder)
         return late
 
-    def next_look(self) -> float | None:
+    def next_expiry_at(self) -> float | None:
         """Return when the next timeout ends, if any."""
         earliest_at = min(
             (r.revoked_at for r in self.pending.values()), default=None
--- a/camphortray/slot_coordinator.py
+++ b/camphortray/slot_coordinator.py
@@ -190,7 +190,7 @@
             self.timer.cancel()
             self.timer = None
         now = self.host.clock.monotonic()
-        at = self.scheduler.next_look(now)
+        at = self.scheduler.next_decision_at(now)
         if at is not None:
             loop = asyncio.get_running_loop()
             self.timer = loop.call_later(max(0.001, at - now), self.on_timer)
--- a/camphortray/slot_scheduler.py
+++ b/camphortray/slot_scheduler.py
@@ -358,7 +358,7 @@
         self.accounting.add(Lease(want, engine, now))
         decisions.append(Grant(want, engine))
 
-    def next_look(self, now: float) -> float | None:
+    def next_decision_at(self, now: float) -> float | None:
         """Return when to decide again even if no event arrives."""
         times = [
             want.asked_at + want.objective_s * MAX_WAIT_SHARE
@@ -366,7 +366,7 @@
         ]
         if self.recheck_at < math.inf:
             times.append(self.recheck_at)
-        expiry_at = self.accounting.revocations.next_look()
+        expiry_at = self.accounting.revocations.next_expiry_at()
         if expiry_at is not None:
             times.append(expiry_at)
         if self.queue or self.items:
--- a/tests/test_slot_reconciler.py
+++ b/tests/test_slot_reconciler.py
@@ -185,7 +185,7 @@
         scheduler.ask(held_by(f"i{number}", holder), 0.0)
     (revoked, _) = scheduler.ask(slotkit.online("q0", 1.0), 1.0)
     assert revoked.want.holder == "a"
-    expiry_at = scheduler.next_look(1.0)
+    expiry_at = scheduler.next_decision_at(1.0)
     assert expiry_at == pytest.approx(1.0 + revocations.CONFIRM_S)
     scheduler.decide(expiry_at)
     assert scheduler.used == {"e0": 5}
--- a/tests/test_slot_scheduler.py
+++ b/tests/test_slot_scheduler.py
@@ -89,7 +89,7 @@
     scheduler = slotkit.scheduler_of(engines=1, slots=8)
     slotkit.fill(scheduler, 8)
     scheduler.ask(slotkit.online("q", 0.0), 0.0)
-    at = scheduler.next_look(0.0)
+    at = scheduler.next_decision_at(0.0)
     assert at == pytest.approx(0.3 * slot_scheduler.MAX_WAIT_SHARE)
     assert slotkit.kinds(scheduler.decide(at + 0.001)) == [("Refuse", "q")]
 
@@ -245,7 +245,7 @@
     scheduler = slotkit.scheduler_of(engines=1, slots=2)
     scheduler.items_from = 0.25
     assert slotkit.kinds(scheduler.ask(slotkit.item("i"), 0.0)) == []
-    assert scheduler.next_look(0.0) == 0.25
+    assert scheduler.next_decision_at(0.0) == 0.25
     # Online requests are granted slots meanwhile.
     assert slotkit.kinds(scheduler.ask(slotkit.online("q"), 0.1)) == [
         ("Grant", "q")
--- a/tests/test_slotload.py
+++ b/tests/test_slotload.py
@@ -85,7 +85,7 @@
             share = len(self.book.leases) / (ENGINES * SLOTS)
             self.played.used += share * (now - before) / DAY_S
             self.step(now, what, name)
-            look = self.book.next_look(now)
+            look = self.book.next_decision_at(now)
             if look is not None and look not in self.looks:
                 self.looks.add(look)
                 self.at(max(look, now + 1e-6), "look")
@@ -189,7 +189,7 @@
     )
     assert book.ask(want, 0.1) == []
     assert book.done("q", good, 0.7) == []
-    look = book.next_look(0.7)
+    look = book.next_decision_at(0.7)
     assert look == pytest.approx(0.7 + slot_scheduler.HOLD_BACK_FACTOR * 0.05)
     (decision,) = book.decide(look + 0.001)
     assert decision == slot_scheduler.Grant(want, "e")
