--- a/camphortray/slot_scheduler.py
+++ b/camphortray/slot_scheduler.py
@@ -162,7 +162,7 @@
             return self.decide(now)
         self.queue = [held for held in self.queue if held.id != want.id]
         if not self.accounting.table.engines:
-            return [Refuse(want, self.return_in(self.hold_s, want))]
+            return [Refuse(want, self.retry_after_s(self.hold_s, want))]
         self.queue.append(want)
         self.queue.sort(key=lambda held: (held.priority, held.asked_at))
         return self.decide(now)
@@ -218,7 +218,7 @@
             )
             expected_s = wait_s if self.experiments.refuse_at_once else 0.0
             if expected_s > max_wait_s or now >= want.asked_at + want.left_s:
-                retry_after_s = self.return_in(wait_s, want)
+                retry_after_s = self.retry_after_s(wait_s, want)
                 decisions.append(Refuse(want, retry_after_s))
             else:
                 waiting.append(want)
@@ -297,7 +297,7 @@
             return enginehealth.UNREACHED_S
         return (ahead + 1) * self.hold_s / open_slots
 
-    def return_in(self, wait_s: float, want: SlotRequest) -> float:
+    def retry_after_s(self, wait_s: float, want: SlotRequest) -> float:
         """Return when to retry, at most a third of the time left.
 
         The delay has a jitter derived from the request id, so that refused
--- a/tests/test_experiments.py
+++ b/tests/test_experiments.py
@@ -116,7 +116,7 @@
 
 def spread_return(on):
     book = book_of(on, 1)
-    return len({book.return_in(0.7, question(name)) for name in "abcd"})
+    return len({book.retry_after_s(0.7, question(name)) for name in "abcd"})
 
 
 def kept_connections(on):
