--- a/camphortray/orphaned_leases.py
+++ b/camphortray/orphaned_leases.py
@@ -11,7 +11,7 @@
 its engine reports that the request has ended, or until a time limit.
 """
 
-__all__ = ["LONGEST_S", "OrphanedLeases", "POLL_S"]
+__all__ = ["MAX_ORPHAN_S", "OrphanedLeases", "POLL_S"]
 
 import dataclasses
 
@@ -20,7 +20,7 @@
 POLL_S = 0.25
 # Time after which an orphaned lease is dropped if no report comes: nearly all
 # batch items are done within it.
-LONGEST_S = 8.0
+MAX_ORPHAN_S = 8.0
 
 
 @dataclasses.dataclass(slots=True)
@@ -61,7 +61,7 @@
         self.engines[want_id] = engine
         held = self.held.setdefault(engine, EngineOrphans(0, 0.0))
         held.count += 1
-        held.until = now + LONGEST_S
+        held.until = now + MAX_ORPHAN_S
 
     def adopt(self, engine: str) -> bool:
         """Remove one whose holder reports it; return if there was any."""
@@ -92,7 +92,9 @@
         if unaccounted <= 0:
             self.forget(engine)
             return
-        held = self.held.setdefault(engine, EngineOrphans(0, now + LONGEST_S))
+        held = self.held.setdefault(
+            engine, EngineOrphans(0, now + MAX_ORPHAN_S)
+        )
         if unaccounted < held.count:
             # It is not known which of them have ended.
             self.forget_ids(engine)
--- a/tests/test_slot_client.py
+++ b/tests/test_slot_client.py
@@ -218,7 +218,7 @@
         coordinator.send_decisions(coordinator.scheduler.decide(now))
         assert await slotclientkit.ask(host, "a") == 200
         assert not asked
-        monkeypatch.setattr(orphaned_leases, "LONGEST_S", 0.0)
+        monkeypatch.setattr(orphaned_leases, "MAX_ORPHAN_S", 0.0)
         coordinator.scheduler.accounting.orphaned.held["i-0"].until = now
         part.served.expire_holders()
         assert not coordinator.scheduler.accounting.orphaned
--- a/tests/test_slot_reconciler.py
+++ b/tests/test_slot_reconciler.py
@@ -122,9 +122,9 @@
     reconciler = slot_reconciler.SlotReconciler(scheduler)
     slotkit.fill(scheduler, 2, slotkit.item)
     reconciler.forget("h", 4.0)
-    reconciler.expire_orphaned(4.0 + orphaned_leases.LONGEST_S - 0.1)
+    reconciler.expire_orphaned(4.0 + orphaned_leases.MAX_ORPHAN_S - 0.1)
     assert scheduler.free_slots(13.0) == 0
-    reconciler.expire_orphaned(4.0 + orphaned_leases.LONGEST_S)
+    reconciler.expire_orphaned(4.0 + orphaned_leases.MAX_ORPHAN_S)
     assert scheduler.free_slots(13.0) == 2
     assert not scheduler.used
 
