--- a/camphortray/orphaned_leases.py
+++ b/camphortray/orphaned_leases.py
@@ -29,43 +29,43 @@
 
     Attributes:
       count: How many there are.
-      until: When they are dropped.
+      expires_at: When they are dropped.
     """
 
     count: int
-    until: float
+    expires_at: float
 
 
 class OrphanedLeases:
     """Orphaned leases of all engines.
 
     Attributes:
-      held: Orphaned leases by engine.
+      by_engine: Orphaned leases by engine.
       engines: Engine of each orphaned lease whose request id is known.
     """
 
     def __init__(self) -> None:
-        self.held: dict[str, EngineOrphans] = {}
+        self.by_engine: dict[str, EngineOrphans] = {}
         self.engines: dict[str, str] = {}
 
     def __bool__(self) -> bool:
-        return bool(self.held)
+        return bool(self.by_engine)
 
     def count(self, engine: str) -> int:
         """Return the number of orphaned leases of an engine."""
-        held = self.held.get(engine)
+        held = self.by_engine.get(engine)
         return held.count if held is not None else 0
 
     def add(self, engine: str, want_id: str, now: float) -> None:
         """Add a lease that has ended without a message."""
         self.engines[want_id] = engine
-        held = self.held.setdefault(engine, EngineOrphans(0, 0.0))
+        held = self.by_engine.setdefault(engine, EngineOrphans(0, 0.0))
         held.count += 1
-        held.until = now + MAX_ORPHAN_S
+        held.expires_at = now + MAX_ORPHAN_S
 
     def adopt(self, engine: str) -> bool:
         """Remove one whose holder reports it; return if there was any."""
-        held = self.held.get(engine)
+        held = self.by_engine.get(engine)
         if held is None:
             return False
         held.count -= 1
@@ -80,7 +80,7 @@
 
     def forget(self, engine: str) -> None:
         """Remove all orphaned leases of an engine."""
-        self.held.pop(engine, None)
+        self.by_engine.pop(engine, None)
         self.forget_ids(engine)
 
     def forget_ids(self, engine: str) -> None:
@@ -92,7 +92,7 @@
         if unaccounted <= 0:
             self.forget(engine)
             return
-        held = self.held.setdefault(
+        held = self.by_engine.setdefault(
             engine, EngineOrphans(0, now + MAX_ORPHAN_S)
         )
         if unaccounted < held.count:
@@ -103,7 +103,9 @@
     def expire(self, now: float) -> list[str]:
         """Drop leases past their time limit; return their engines."""
         expired = [
-            engine for engine, held in self.held.items() if now >= held.until
+            engine
+            for engine, held in self.by_engine.items()
+            if now >= held.expires_at
         ]
         for engine in expired:
             self.forget(engine)
--- a/tests/test_slot_client.py
+++ b/tests/test_slot_client.py
@@ -219,6 +219,8 @@
         assert await slotclientkit.ask(host, "a") == 200
         assert not asked
         monkeypatch.setattr(orphaned_leases, "MAX_ORPHAN_S", 0.0)
-        coordinator.scheduler.accounting.orphaned.held["i-0"].until = now
+        coordinator.scheduler.accounting.orphaned.by_engine[
+            "i-0"
+        ].expires_at = now
         part.served.expire_holders()
         assert not coordinator.scheduler.accounting.orphaned
--- a/tests/test_slottable.py
+++ b/tests/test_slottable.py
@@ -81,7 +81,7 @@
         counts = {}
         for lease in scheduler.leases.values():
             counts[lease.engine] = counts.get(lease.engine, 0) + 1
-        for name in scheduler.accounting.orphaned.held:
+        for name in scheduler.accounting.orphaned.by_engine:
             counts[name] = counts.get(
                 name, 0
             ) + scheduler.accounting.orphaned.count(name)
