--- a/camphortray/slot_accounting.py
+++ b/camphortray/slot_accounting.py
@@ -97,7 +97,9 @@
             self.table.count(lease.engine, -1)
         self.add(lease)
 
-    def found(self, engine: str, unaccounted: int, now: float) -> None:
+    def set_unaccounted(
+        self, engine: str, unaccounted: int, now: float
+    ) -> None:
         """Set how many requests an engine runs that have no lease."""
         known = self.orphaned.count(engine)
         self.orphaned.reported(engine, unaccounted, now)
--- a/camphortray/slot_reconciler.py
+++ b/camphortray/slot_reconciler.py
@@ -111,7 +111,7 @@
             # Reports are delayed: requests in excess of the known orphaned
             # leases have ended since.
             unaccounted = min(known, unaccounted)
-        self.accounting.found(engine, unaccounted, now)
+        self.accounting.set_unaccounted(engine, unaccounted, now)
         return self.scheduler.decide(now)
 
     def expire_orphaned(self, now: float) -> list[slot_scheduler.Decision]:
--- a/tests/test_slot_client.py
+++ b/tests/test_slot_client.py
@@ -214,7 +214,7 @@
         part = host.part(slot_client.SlotClient)
         coordinator = part.served.coordinator(SERVICE)
         now = part.clock.monotonic()
-        coordinator.scheduler.accounting.found("i-0", 2, now)
+        coordinator.scheduler.accounting.set_unaccounted("i-0", 2, now)
         coordinator.send_decisions(coordinator.scheduler.decide(now))
         assert await slotclientkit.ask(host, "a") == 200
         assert not asked
