--- a/camphortray/lease_reporting.py
+++ b/camphortray/lease_reporting.py
@@ -99,7 +99,9 @@
         if name == holder.own_name:
             coordinator = holder.served.coordinator(service)
             coordinator.send_decisions(
-                coordinator.reconciler.report(name, leases, wants, now)
+                coordinator.reconciler.on_holder_report(
+                    name, leases, wants, now
+                )
             )
         elif held or waiting or self.reported_to.get(service) == name:
             # Once more when nothing is left: the last end may be lost.
--- a/camphortray/slot_coordinator.py
+++ b/camphortray/slot_coordinator.py
@@ -410,5 +410,5 @@
         ]
         wants = [wire.want(holder, now) for wire in report.wants]
         coordinator.send_decisions(
-            coordinator.reconciler.report(holder, leases, wants, now)
+            coordinator.reconciler.on_holder_report(holder, leases, wants, now)
         )
--- a/camphortray/slot_reconciler.py
+++ b/camphortray/slot_reconciler.py
@@ -31,7 +31,7 @@
 
     # Reports of holders.
 
-    def report(
+    def on_holder_report(
         self,
         holder: str,
         leases: Iterable[slot_queue.Lease],
--- a/tests/test_slot_reconciler.py
+++ b/tests/test_slot_reconciler.py
@@ -19,7 +19,7 @@
     # which knows no leases. Without reports it would grant used slots again.
     old, new = slotkit.scheduler_of(), slotkit.scheduler_of()
     slotkit.fill(old, 3, slotkit.item)
-    slot_reconciler.SlotReconciler(new).report(
+    slot_reconciler.SlotReconciler(new).on_holder_report(
         "h", old.leases.values(), [], 5.0
     )
     assert new.used == old.used
@@ -32,9 +32,11 @@
     scheduler = slotkit.scheduler_of()
     reconciler = slot_reconciler.SlotReconciler(scheduler)
     slotkit.fill(scheduler, 2, slotkit.item)
-    assert slotkit.kinds(reconciler.report("h", [], [], 0.1)) == []
+    assert slotkit.kinds(reconciler.on_holder_report("h", [], [], 0.1)) == []
     assert len(scheduler.leases) == 2
-    reconciler.report("h", [], [], slot_reconciler.GRANT_DELIVERY_S + 0.1)
+    reconciler.on_holder_report(
+        "h", [], [], slot_reconciler.GRANT_DELIVERY_S + 0.1
+    )
     assert not scheduler.leases
 
 
@@ -110,7 +112,7 @@
         slot_scheduler.Lease(slotkit.online(f"q{n}"), "e0", -0.3)
         for n in range(4)
     ]
-    reconciler.report("h", leases, [], 0.01)
+    reconciler.on_holder_report("h", leases, [], 0.01)
     assert scheduler.used["e0"] == 5
     assert scheduler.accounting.orphaned.count("e0") == 1
     reconciler.on_engine_report("e0", 4, 0.3, False)
@@ -135,7 +137,7 @@
     scheduler = slotkit.scheduler_of(engines=1, slots=2)
     reconciler = slot_reconciler.SlotReconciler(scheduler)
     slotkit.fill(scheduler, 2, slotkit.item)
-    reconciler.report("h", [], [], 1.0)
+    reconciler.on_holder_report("h", [], [], 1.0)
     assert not scheduler.leases
     assert scheduler.free_slots(1.0) == 0
     reconciler.on_engine_report("e0", 0, 1.01, False)
@@ -214,7 +216,7 @@
     left = [
         lease for lease in scheduler.leases.values() if not lease.want.online
     ]
-    reconciler.report("a", left, [], 1.2)
+    reconciler.on_holder_report("a", left, [], 1.2)
     assert not scheduler.accounting.revocations.unresponsive
 
 
@@ -239,7 +241,7 @@
     if lost == "report":
         # The holder has not read the grant yet and reports another lease.
         held = scheduler.leases["item1"]
-        reconciler.report("h", [held], [], 1.0)
+        reconciler.on_holder_report("h", [held], [], 1.0)
     else:
         # The holder stops its item only after the timeout to confirm.
         scheduler.ask(slotkit.online("q"), 1.0)
@@ -260,7 +262,7 @@
     scheduler = slotkit.scheduler_of(engines=1, slots=2)
     reconciler = slot_reconciler.SlotReconciler(scheduler)
     slotkit.fill(scheduler, 2, slotkit.item)
-    reconciler.report("h", [], [], 1.0)
+    reconciler.on_holder_report("h", [], [], 1.0)
     reconciler.on_engine_report("e0", 1, 1.1, False)
     scheduler.done("item0", enginehealth.Outcome.NOTHING, 1.2)
     assert scheduler.accounting.orphaned.count("e0") == 1
--- a/tests/test_slot_scheduler.py
+++ b/tests/test_slot_scheduler.py
@@ -252,7 +252,7 @@
     ]
     lease = slot_scheduler.Lease(slotkit.item("j"), "e0", 0.0)
     reconciler = slot_reconciler.SlotReconciler(scheduler)
-    reconciler.report("h", [lease], [slotkit.item("i")], 0.2)
+    reconciler.on_holder_report("h", [lease], [slotkit.item("i")], 0.2)
     assert slotkit.kinds(scheduler.decide(0.25)) == []
     scheduler.done("q", enginehealth.Outcome.GOOD, 0.3)
     scheduler.decide(0.3)
