--- a/camphortray/slot_coordinator.py
+++ b/camphortray/slot_coordinator.py
@@ -26,7 +26,7 @@
 SlotDecisions = slot_messages.SlotDecisions
 # Time without a message after which a holder is dropped. Its connections are
 # closed by then, or its next report restores its leases.
-HOLDER_S = 3.0
+HOLDER_TIMEOUT_S = 3.0
 # Time for which a new coordinator collects reports of holders and engines
 # before it grants slots to batch items.
 LEARNING_S = 0.25
@@ -262,9 +262,9 @@
             self.holders[holder] = peer_address, now
 
     def expire(self, now: float) -> None:
-        """Drop holders that have sent nothing for ``HOLDER_S``."""
+        """Drop holders that have sent nothing for ``HOLDER_TIMEOUT_S``."""
         for holder, (_, at) in list(self.holders.items()):
-            if now - at > HOLDER_S:
+            if now - at > HOLDER_TIMEOUT_S:
                 self.drop(holder, now)
 
     def drop(self, holder: str, now: float) -> None:
--- a/tests/test_lease_reporting.py
+++ b/tests/test_lease_reporting.py
@@ -79,7 +79,7 @@
 @pytest.fixture
 def no_clearing(monkeypatch):
     """Let nothing be forgotten but what its holder gives back."""
-    monkeypatch.setattr(slot_coordinator, "HOLDER_S", LONG_S)
+    monkeypatch.setattr(slot_coordinator, "HOLDER_TIMEOUT_S", LONG_S)
 
 
 def slow_to_answer(host, until):
