--- a/camphortray/coordinator_election.py
+++ b/camphortray/coordinator_election.py
@@ -33,7 +33,7 @@
       live: Returns the live hosts.
       possible: Returns the names of all hosts that may be alive, including
         those not heard from yet.
-      known: Coordinator by service.
+      elected: Coordinator by service.
       excluded: When the exclusion of a member ends, by name.
       on_change: Called with each service whose coordinator has changed.
     """
@@ -47,17 +47,17 @@
         self.own_name = own_name
         self.live = live
         self.possible = possible or self.live_names
-        self.known: dict[str, str] = {}
+        self.elected: dict[str, str] = {}
         self.excluded: dict[str, float] = {}
         self.on_change: Callable[[str], None] = lambda service: None
 
     def coordinator(self, service: str, now: float) -> str:
         """Return the member that coordinates a service."""
-        if service not in self.known:
+        if service not in self.elected:
             names = [m.name for m in self.live() if self.usable(m, now)]
             found = shards.preferred(f"slots/{service}", names)
-            self.known[service] = found or self.own_name
-        return self.known[service]
+            self.elected[service] = found or self.own_name
+        return self.elected[service]
 
     def usable(self, member: members.Member, now: float) -> bool:
         """Return whether a live member may coordinate."""
@@ -131,7 +131,7 @@
         an election examines all members.
         """
         usable = self.usable(member, now)
-        for service, name in list(self.known.items()):
+        for service, name in list(self.elected.items()):
             key = f"slots/{service}"
             if member.name == name:
                 affected = not usable
@@ -144,11 +144,11 @@
 
     def re_elect_service(self, service: str, now: float) -> None:
         """Repeat the election for one service."""
-        before = self.known.pop(service)
+        before = self.elected.pop(service)
         if self.coordinator(service, now) != before:
             self.on_change(service)
 
     def re_elect(self, now: float) -> None:
         """Repeat the elections for all services."""
-        for service in list(self.known):
+        for service in list(self.elected):
             self.re_elect_service(service, now)
--- a/camphortray/lease_reporting.py
+++ b/camphortray/lease_reporting.py
@@ -76,7 +76,7 @@
             await asyncio.sleep(REPORT_S)
             holder.coordinators.readmit(holder.clock.monotonic())
             holder.served.expire_holders()
-            for service in list(holder.coordinators.known):
+            for service in list(holder.coordinators.elected):
                 self.soon(service)
 
     def soon(self, service: str) -> None:
--- a/tests/test_coordinator_election.py
+++ b/tests/test_coordinator_election.py
@@ -78,7 +78,7 @@
     live.pop(FIRST)
     election.re_elect(2.0)
     assert changed == [SERVICE]
-    assert election.known == {SERVICE: SECOND}
+    assert election.elected == {SERVICE: SECOND}
 
 
 @pytest.mark.parametrize(
@@ -175,10 +175,10 @@
             live[name] = member
         elif name != LAST:
             live.pop(name, None)
-        before = election.known[SERVICE]
+        before = election.elected[SERVICE]
         changed.clear()
         election.on_member(member, 0.0)
-        found = election.known[SERVICE]
+        found = election.elected[SERVICE]
         recomputed, _ = election_of(LAST, live)
         assert found == recomputed.coordinator(SERVICE, 0.0)
         assert changed == ([SERVICE] if found != before else [])
