--- a/camphortray/slot_coordinator.py
+++ b/camphortray/slot_coordinator.py
@@ -58,7 +58,9 @@
         """Check whether the first-choice coordinator responds."""
 
     @abc.abstractmethod
-    async def runs_at(self, entry: engine_registry.EngineEntry) -> int:
+    async def running_requests(
+        self, entry: engine_registry.EngineEntry
+    ) -> int:
         """Return how many requests an engine runs or has queued.
 
         Raises:
@@ -236,7 +238,7 @@
     ) -> None:
         """Get the report of one engine and apply it."""
         try:
-            running = await self.host.runs_at(entry)
+            running = await self.host.running_requests(entry)
         except errors.UpstreamError as error:
             LOG.info("No load report from engine {}: {}", entry.name, error)
             return
--- a/tests/test_slot_client.py
+++ b/tests/test_slot_client.py
@@ -123,7 +123,7 @@
     async def silent(self, entry):
         raise errors.UpstreamTimeout("late", ran=False, step="load")
 
-    monkeypatch.setattr(slot_client.SlotClient, "runs_at", silent)
+    monkeypatch.setattr(slot_client.SlotClient, "running_requests", silent)
     async with platformkit.Platform(hosts=1, engines=1) as platform:
         (host,) = platform.hosts
         assert await slotclientkit.ask(host, "a1") == 200
@@ -207,7 +207,7 @@
         asked.append(entry.name)
         return 3
 
-    monkeypatch.setattr(slot_client.SlotClient, "runs_at", noted)
+    monkeypatch.setattr(slot_client.SlotClient, "running_requests", noted)
     monkeypatch.setattr(slot_client.SlotClient, "share_of", lambda *_: 0.5)
     async with platformkit.Platform(hosts=1, engines=2) as platform:
         (host,) = platform.hosts
