--- a/camphortray/lease_reporting.py
+++ b/camphortray/lease_reporting.py
@@ -76,7 +76,7 @@
             await asyncio.sleep(REPORT_S)
             holder.coordinators.readmit(holder.clock.monotonic())
             holder.served.expire_holders()
-            for service in list(holder.coordinators.known):
+            for service in list(holder.coordinators.elected):
                 self.soon(service)
 
     def soon(self, service: str) -> None:
@@ -98,8 +98,10 @@
         wants = [p.want for p in waiting if not p.answer.done()]
         if name == holder.own_name:
             coordinator = holder.served.coordinator(service)
-            coordinator.act(
-                coordinator.reconciler.report(name, leases, wants, now)
+            coordinator.send_decisions(
+                coordinator.reconciler.on_holder_report(
+                    name, leases, wants, now
+                )
             )
         elif held or waiting or self.reported_to.get(service) == name:
             # Once more when nothing is left: the last end may be lost.
--- a/camphortray/slot_client.py
+++ b/camphortray/slot_client.py
@@ -127,13 +127,13 @@
         now = self.clock.monotonic()
         return self.coordinators.share_of(service, holders, now)
 
-    def check_natural(self, service: str) -> None:
+    def check_first_choice(self, service: str) -> None:
         """Find out whether the host that should coordinate is silent.
 
         Called as another host, which could not reach it, asks this one.
         """
         now = self.clock.monotonic()
-        name = self.coordinators.natural(service) or self.own_name
+        name = self.coordinators.first_choice(service) or self.own_name
         if name == self.own_name or name in self.checking:
             return
         if self.coordinators.usable_name(name, now):
@@ -182,7 +182,9 @@
             seconds = coordinator_election.UNKNOWN_S
         self.coordinators.exclude(fact.key, now, seconds)
 
-    async def runs_at(self, entry: engine_registry.EngineEntry) -> int:
+    async def running_requests(
+        self, entry: engine_registry.EngineEntry
+    ) -> int:
         upstream = self.upstream(entry)
         party = self.context.part(backends.LedgerBackends).engine(
             upstream.plugin
@@ -250,7 +252,7 @@
             await self.ask(pending)
             if not want.online:
                 return pending.granted(*await pending.answer)
-            left_s = want.objective_s * slot_scheduler.PATIENCE + SLACK_S
+            left_s = want.objective_s * slot_scheduler.MAX_WAIT_SHARE + SLACK_S
             async with timers.limit(left_s):
                 return pending.granted(*await pending.answer)
         except TimeoutError:
@@ -339,9 +341,11 @@
     def ask_here(self, pending: lease_table.Pending) -> None:
         """Ask this host's own coordinator."""
         coordinator = self.served.coordinator(pending.service)
-        coordinator.book.set_share(self.share_of(pending.service))
+        coordinator.scheduler.set_share(self.share_of(pending.service))
         now = self.clock.monotonic()
-        coordinator.act(coordinator.book.ask(pending.want, now))
+        coordinator.send_decisions(
+            coordinator.scheduler.ask(pending.want, now)
+        )
 
     def on_decisions(self, update: SlotDecisions, coordinator: str) -> None:
         """Take what a coordinator has decided."""
@@ -411,7 +415,7 @@
         if coordinator == self.own_name:
             served = self.served.coordinator(service)
             now = self.clock.monotonic()
-            served.act(served.book.done(want_id, outcome, now))
+            served.send_decisions(served.scheduler.done(want_id, outcome, now))
             return
         member = self.members.member(coordinator)
         if member is not None and not member.dead:
--- a/tests/test_slot_client.py
+++ b/tests/test_slot_client.py
@@ -31,7 +31,9 @@
         ]
         assert set(await asyncio.gather(*asks)) == {200}
         book = (
-            chief.part(slot_client.SlotClient).served.by_service[SERVICE].book
+            chief.part(slot_client.SlotClient)
+            .served.by_service[SERVICE]
+            .scheduler
         )
         await platform.until(lambda: not book.leases)
         assert not book.used
@@ -106,12 +108,12 @@
         host = await platform.add("host-0")
         await platform.until(lambda: host.ready)
         served = host.part(slot_client.SlotClient).served
-        book = served.coordinator(SERVICE).book
-        await platform.until(lambda: book.use.orphaned)
+        book = served.coordinator(SERVICE).scheduler
+        await platform.until(lambda: book.accounting.orphaned)
         assert await slotclientkit.ask(host, "a1") == 503
         assert not engine.ran
         engine.foreign = 0
-        await platform.until(lambda: not book.use.orphaned)
+        await platform.until(lambda: not book.accounting.orphaned)
         assert await slotclientkit.ask(host, "a2") == 200
 
 
@@ -121,14 +123,14 @@
     async def silent(self, entry):
         raise errors.UpstreamTimeout("late", ran=False, step="load")
 
-    monkeypatch.setattr(slot_client.SlotClient, "runs_at", silent)
+    monkeypatch.setattr(slot_client.SlotClient, "running_requests", silent)
     async with platformkit.Platform(hosts=1, engines=1) as platform:
         (host,) = platform.hosts
         assert await slotclientkit.ask(host, "a1") == 200
         assert (
             not host.part(slot_client.SlotClient)
             .served.coordinator(SERVICE)
-            .book.use.orphaned
+            .scheduler.accounting.orphaned
         )
 
 
@@ -205,18 +207,20 @@
         asked.append(entry.name)
         return 3
 
-    monkeypatch.setattr(slot_client.SlotClient, "runs_at", noted)
+    monkeypatch.setattr(slot_client.SlotClient, "running_requests", noted)
     monkeypatch.setattr(slot_client.SlotClient, "share_of", lambda *_: 0.5)
     async with platformkit.Platform(hosts=1, engines=2) as platform:
         (host,) = platform.hosts
         part = host.part(slot_client.SlotClient)
         coordinator = part.served.coordinator(SERVICE)
         now = part.clock.monotonic()
-        coordinator.book.use.found("i-0", 2, now)
-        coordinator.act(coordinator.book.decide(now))
+        coordinator.scheduler.accounting.set_unaccounted("i-0", 2, now)
+        coordinator.send_decisions(coordinator.scheduler.decide(now))
         assert await slotclientkit.ask(host, "a") == 200
         assert not asked
-        monkeypatch.setattr(orphaned_leases, "LONGEST_S", 0.0)
-        coordinator.book.use.orphaned.held["i-0"].until = now
+        monkeypatch.setattr(orphaned_leases, "MAX_ORPHAN_S", 0.0)
+        coordinator.scheduler.accounting.orphaned.by_engine[
+            "i-0"
+        ].expires_at = now
         part.served.expire_holders()
-        assert not coordinator.book.use.orphaned
+        assert not coordinator.scheduler.accounting.orphaned
--- a/tests/test_slotload.py
+++ b/tests/test_slotload.py
@@ -85,7 +85,7 @@
             share = len(self.book.leases) / (ENGINES * SLOTS)
             self.played.used += share * (now - before) / DAY_S
             self.step(now, what, name)
-            look = self.book.next_look(now)
+            look = self.book.next_decision_at(now)
             if look is not None and look not in self.looks:
                 self.looks.add(look)
                 self.at(max(look, now + 1e-6), "look")
@@ -189,8 +189,8 @@
     )
     assert book.ask(want, 0.1) == []
     assert book.done("q", good, 0.7) == []
-    look = book.next_look(0.7)
-    assert look == pytest.approx(0.7 + slot_scheduler.PAYBACK * 0.05)
+    look = book.next_decision_at(0.7)
+    assert look == pytest.approx(0.7 + slot_scheduler.HOLD_BACK_FACTOR * 0.05)
     (decision,) = book.decide(look + 0.001)
     assert decision == slot_scheduler.Grant(want, "e")
 
@@ -205,7 +205,7 @@
     book.ask(slot_scheduler.SlotRequest("i1", "h", False), 0.0)
     gone = book.leases["i0"].engine
     book.set_engines([e for e in engines if e.name != gone], 1.0)
-    book.use.table.judge(gone, enginehealth.Outcome.UNREACHED, 1.0)
+    book.accounting.table.judge(gone, enginehealth.Outcome.UNREACHED, 1.0)
     question = slot_scheduler.SlotRequest("q", "h", True, asked_at=2.0)
     _, decision = book.ask(question, 2.0)
     assert decision.engine != gone
