--- a/camphortray/slot_client.py
+++ b/camphortray/slot_client.py
@@ -1,8 +1,8 @@
-"""Asks the coordinator of a service for slots, for this host's requests.
+"""Requests slots for this host's requests from each service's coordinator.
 
-What a coordinator knows is soft: its holders report all they hold
-(`lease_reporting`). A host whose coordinator is silent decides for itself on
-a share of the slots and fails over to the next one.
+A coordinator keeps soft state only, rebuilt from the periodic reports of lease
+holders (`lease_reporting`). A host whose coordinator does not respond grants
+itself slots from a share of them, and fails over to the next coordinator.
 """
 
 __all__ = ["SlotClient"]
@@ -41,35 +41,40 @@
 LeaseEnd = slot_messages.LeaseEnd
 SlotDecisions = slot_messages.SlotDecisions
 WireRequest = slot_messages.WireRequest
-# Time for a coordinator to answer before the host decides for itself. Its
-# way there and back is some milliseconds; the objective of a question is
-# some hundreds.
-ANSWER_S = 0.12
-# The same for a check by its successor, which excludes it for all.
-CHECK_S = 0.25
-SILENT = "coordinator-silent"
-# Beyond its patience a queued request waits this long for the answer of its
-# coordinator, in seconds.
-SLACK_S = 0.1
-# Grants of engines that are not usable here after which a want is given
-# up for now, and when its caller should come back, in seconds.
-MAX_STALE = 4
+# Timeout in seconds for a coordinator's reply, after which the host decides
+# for itself. A round trip takes milliseconds, while the latency objective of
+# an online request is hundreds of milliseconds.
+ASK_TIMEOUT_S = 0.12
+# Timeout in seconds for the successor's check of a coordinator. Longer,
+# because its failure makes all hosts exclude that coordinator.
+CHECK_TIMEOUT_S = 0.25
+# Kind of the fact that makes all hosts exclude a coordinator.
+SILENT_COORDINATOR_FACT = "coordinator-silent"
+# Seconds that an online request waits for the coordinator's answer beyond its
+# maximum time in the queue.
+ANSWER_MARGIN_S = 0.1
+# Number of unusable grants (revoked early, or for an engine unknown to this
+# host) after which a request is refused, and the seconds until its caller
+# retries.
+MAX_UNUSABLE_GRANTS = 4
 RETRY_S = 0.1
 
 
 @kernel.PARTS.register("host")
 class SlotClient(kernel.Part, lease_reporting.Holder):
-    """Slots for this host's requests.
+    """Acquires and releases slots for this host's requests.
 
     Attributes:
-      coordinators: Who gives out the slots of which service.
-      served: What this host coordinates.
-      reports: Sends coordinators all that this host holds.
-      checking: Coordinators that are asked whether they answer.
-      published: Until when a coordinator is excluded by this host's update.
-      pending: Wants without an answer, by id.
-      held: Slots in use, by id of the want.
-      recalled: Wants granted and taken back before their items knew.
+      coordinators: Elected coordinator of each service.
+      served: Services whose slots this host coordinates.
+      reports: Sends reports of pending requests and held leases.
+      checking: Coordinators that this host is checking for a response.
+      published: When the exclusion that this host published expires, by
+        coordinator.
+      pending: Slot requests without an answer, by id.
+      held: Leases in use, by id of the slot request.
+      revoked_early: Ids of slot requests whose grant was revoked before the
+        batch item received it.
     """
 
     name: ClassVar[str] = "slot_client"
@@ -95,7 +100,7 @@
         self.coordinators.on_change = self.reports.soon
         self.pending: dict[str, lease_table.Pending] = {}
         self.held: dict[str, lease_table.HeldLease] = {}
-        self.recalled: set[str] = set()
+        self.revoked_early: set[str] = set()
         self.task: asyncio.Task[None] | None = None
 
     @classmethod
@@ -104,9 +109,11 @@
 
     async def start(self) -> None:
         self.served.start()
-        self.links.on(SlotDecisions, self.on_decisions_sent)
+        self.links.on(SlotDecisions, self.on_later_decisions)
         self.members.listen(self.on_member)
-        self.members.on_fact(SILENT, self.on_silent)
+        self.members.on_fact(
+            SILENT_COORDINATOR_FACT, self.on_silent_coordinator
+        )
         self.active_config.listen_engines(self.served.update_engines)
         self.active_config.peers_of = functools.partial(
             self.members.live_peers, "host"
@@ -119,18 +126,19 @@
             self.task.cancel()
         self.served.stop()
 
-    # What coordinating and reporting need of their host.
+    # Interface for `slot_coordinator` and `lease_reporting`.
 
     def share_of(self, service: str) -> float:
-        """Return the share of the slots that this host gives out."""
+        """Return the share of a service's slots that this host may grant."""
         holders = self.served.holders(service)
         now = self.clock.monotonic()
         return self.coordinators.share_of(service, holders, now)
 
     def check_natural(self, service: str) -> None:
-        """Find out whether the host that should coordinate is silent.
+        """Check whether the preferred coordinator responds.
 
-        Called as another host, which could not reach it, asks this one.
+        Called when another host, which could not reach that coordinator,
+        sends its requests to this host.
         """
         now = self.clock.monotonic()
         name = self.coordinators.natural(service) or self.own_name
@@ -143,136 +151,156 @@
             self.publish_silent(name)
 
     async def check(self, service: str, name: str) -> None:
-        """Ask a coordinator that another host has left; publish its silence.
+        """Check a coordinator that another host failed over from.
 
-        One host alone may be cut off from it. Where its successor does not
-        reach it either, no host needs to find out for itself.
+        That host alone may be cut off from the coordinator. If this host, its
+        successor, cannot reach it either, all hosts are told to exclude it.
         """
         try:
             address = self.members.peer_address(name)
             ask = SlotAsk(service, str(self.links.address), ())
-            await self.links.ask(address, ask, CHECK_S)
+            await self.links.ask(address, ask, CHECK_TIMEOUT_S)
         except errors.MessageError as error:
-            LOG.warning("Coordinator {} is silent: {}", name, error)
+            LOG.warning("Coordinator {} failed its check: {}", name, error)
             self.publish_silent(name)
         finally:
             self.checking.discard(name)
 
     def publish_silent(self, name: str) -> None:
-        """Let all hosts exclude a coordinator."""
+        """Publish a fact that makes all hosts exclude a coordinator."""
         keep_s = coordinator_election.CONFIRMED_S
         self.published[name] = self.clock.monotonic() + keep_s
         member = self.members.member(name)
         started = member.started if member is not None else 0
-        self.members.publish(SILENT, name, started, keep_s)
+        self.members.publish(SILENT_COORDINATOR_FACT, name, started, keep_s)
         self.served.update_engines()
 
-    def on_silent(self, fact: membership.Fact) -> None:
-        """Exclude a coordinator that its successor does not reach."""
+    def on_silent_coordinator(self, fact: membership.Fact) -> None:
+        """Exclude a coordinator that its successor could not reach."""
         member = self.members.member(fact.key)
         if fact.key == self.own_name:
             return
         if member is not None and member.started > int(fact.value):
-            # It has started again since.
+            # The coordinator has restarted since.
             return
         now = self.clock.monotonic()
         seconds = coordinator_election.CONFIRMED_S
         if member is None:
-            # Of the platform's list alone, which keeps hosts that are gone.
+            # Known only from the platform's host list, which may still list
+            # hosts that no longer exist.
             seconds = coordinator_election.UNKNOWN_S
         self.coordinators.exclude(fact.key, now, seconds)
 
     async def runs_at(self, entry: engine_registry.EngineEntry) -> int:
         upstream = self.upstream(entry)
-        party = self.context.part(backends.LedgerBackends).engine(
+        backend = self.context.part(backends.LedgerBackends).engine(
             upstream.plugin
         )
-        report = await party.load(upstream)
+        report = await backend.load(upstream)
         return report.running + report.waiting
 
     def exclude(self, name: str) -> None:
-        """Do not consider an unresponsive coordinator for a while."""
-        LOG.warning("Coordinator {} does not answer; excluded.", name)
+        """Exclude an unresponsive coordinator temporarily."""
+        LOG.warning(
+            "Coordinator {} did not respond; excluded for {:.0f} s.",
+            name,
+            coordinator_election.EXCLUDED_S,
+        )
         self.coordinators.exclude(name, self.clock.monotonic())
 
     def on_member(self, member: membership.Member) -> None:
-        """Elect coordinators anew if a member's change may matter."""
+        """Re-elect coordinators if a member's change may affect them."""
         if member.dead:
             self.served.drop(member.name)
         self.coordinators.on_member(member, self.clock.monotonic())
 
-    # Asking.
+    # Requesting slots.
 
     async def acquire(
         self,
         service: str,
-        want: slot_scheduler.SlotRequest,
+        request: slot_scheduler.SlotRequest,
         on_revoke: Callable[[], None] | None = None,
     ) -> lease_table.HeldLease:
-        """Wait for a slot.
+        """Wait for a slot and return its lease.
+
+        Args:
+          service: Service whose engine is wanted.
+          request: Slot request.
+          on_revoke: Called when the slot is revoked.
 
         Raises:
-          NoSlot: there is none in time; only for online requests.
+          NoSlot: An online request got no slot in time, or none of
+            ``MAX_UNUSABLE_GRANTS`` grants was usable.
         """
         zone = self.context.config.host.availability_zone
-        want = dataclasses.replace(want, zone=zone)
-        for number in range(MAX_STALE):
-            granted = await self.answer(service, want)
-            if want.id in self.recalled:
-                self.recalled.discard(want.id)
-                self.end_all(granted.coordinators, service, want.id)
-                want = dataclasses.replace(want, id=f"{want.id}-{number}")
+        request = dataclasses.replace(request, zone=zone)
+        for attempt in range(MAX_UNUSABLE_GRANTS):
+            granted = await self.request_grant(service, request)
+            if request.id in self.revoked_early:
+                self.revoked_early.discard(request.id)
+                self.send_ends(granted.coordinators, service, request.id)
+                request = dataclasses.replace(
+                    request, id=f"{request.id}-{attempt}"
+                )
                 continue
             entry = self.active_config.engines.find(granted.engine)
             if entry is not None:
                 upstream = self.upstream(entry)
-                return self.placement(
-                    service, want, upstream, granted, on_revoke
+                return self.add_lease(
+                    service, request, upstream, granted, on_revoke
                 )
-            # The coordinator has not heard yet that it leaves, or this
-            # host has not heard yet that it is there.
-            self.end_all(granted.coordinators, service, want.id)
-            want = dataclasses.replace(
-                want,
-                id=f"{want.id}-{number}",
-                avoid=want.avoid | {granted.engine},
+            # Either the coordinator does not know yet that the engine is
+            # leaving, or this host does not know yet that it has joined.
+            self.send_ends(granted.coordinators, service, request.id)
+            request = dataclasses.replace(
+                request,
+                id=f"{request.id}-{attempt}",
+                avoid=request.avoid | {granted.engine},
             )
-        raise errors.NoSlot("engines given are not known here", RETRY_S)
+        raise errors.NoSlot(
+            f"no usable slot in {MAX_UNUSABLE_GRANTS} grants",
+            RETRY_S,
+        )
 
-    async def answer(
-        self, service: str, want: slot_scheduler.SlotRequest
+    async def request_grant(
+        self, service: str, request: slot_scheduler.SlotRequest
     ) -> lease_table.Granted:
-        """Return what is granted, and by whom; errors as ``acquire``."""
+        """Request a slot and wait for its grant; raises as ``acquire``."""
         loop = asyncio.get_running_loop()
-        pending = lease_table.Pending(want, service, loop.create_future())
-        self.pending[want.id] = pending
+        pending = lease_table.Pending(request, service, loop.create_future())
+        self.pending[request.id] = pending
         try:
             await self.ask(pending)
-            if not want.online:
+            if not request.online:
                 return pending.granted(*await pending.answer)
-            left_s = want.objective_s * slot_scheduler.PATIENCE + SLACK_S
+            left_s = (
+                request.objective_s * slot_scheduler.PATIENCE + ANSWER_MARGIN_S
+            )
             async with timers.limit(left_s):
                 return pending.granted(*await pending.answer)
         except TimeoutError:
-            self.end_all(pending.coordinators, service, want.id)
-            raise errors.NoSlot("no word on a slot", want.left_s / 4) from None
+            self.send_ends(pending.coordinators, service, request.id)
+            raise errors.NoSlot(
+                "no answer to the slot request in time", request.left_s / 4
+            ) from None
         except asyncio.CancelledError:
-            self.end_all(pending.coordinators, service, want.id)
+            self.send_ends(pending.coordinators, service, request.id)
             raise
         finally:
-            self.pending.pop(want.id, None)
+            self.pending.pop(request.id, None)
 
-    def placement(
+    def add_lease(
         self,
         service: str,
-        want: slot_scheduler.SlotRequest,
+        request: slot_scheduler.SlotRequest,
         upstream: engine.Upstream,
         granted: lease_table.Granted,
         on_revoke: Callable[[], None] | None,
     ) -> lease_table.HeldLease:
-        """Return the slot that was granted."""
+        """Record a granted slot as held and return its lease."""
         held = lease_table.HeldLease(
-            want,
+            request,
             service,
             upstream,
             self.clock.monotonic(),
@@ -280,11 +308,11 @@
             coordinator=granted.coordinator,
             earlier=set(granted.coordinators - {granted.coordinator}),
         )
-        self.held[want.id] = held
+        self.held[request.id] = held
         return held
 
     def upstream(self, entry: engine_registry.EngineEntry) -> engine.Upstream:
-        """Return an engine as plug-ins know it."""
+        """Return the description of an engine that plug-ins take."""
         service = self.active_config.view.services.get(entry.service)
         max_idle = keepalive.most_idle(
             service.connection_limit if service else 0,
@@ -303,12 +331,16 @@
         )
 
     async def ask(self, pending: lease_table.Pending) -> None:
-        """Ask whoever coordinates, and oneself if that one is silent."""
+        """Send a slot request to the coordinator of its service.
+
+        An online request falls back to this host's own coordinator if the
+        elected one does not respond.
+        """
         now = self.clock.monotonic()
         name = self.coordinators.coordinator(pending.service, now)
         pending.fail_over(name)
         if name == self.own_name:
-            self.ask_here(pending)
+            self.ask_own_coordinator(pending)
             return
         member = self.members.member(name)
         try:
@@ -319,109 +351,112 @@
                 str(self.links.address),
                 (WireRequest.of(pending.want, now),),
             )
-            reply = await self.links.ask(address, message, ANSWER_S)
+            reply = await self.links.ask(address, message, ASK_TIMEOUT_S)
         except errors.MessageError as error:
             LOG.info(
-                "Request {} has no coordinator: {}", pending.want.id, error
+                "Slot request {} not answered by coordinator {}: {}",
+                pending.want.id,
+                name,
+                error,
             )
-            # It may have granted a slot all the same, or do so yet. Nobody
-            # would give that back before the holder is forgotten, seconds
-            # later, and its slots are refused to others meanwhile.
-            self.end(name, pending.service, pending.want.id)
+            # The coordinator may still grant the slot. Without this message
+            # the slot would stay taken until the holder expires seconds
+            # later, while other requests are refused.
+            self.send_end(name, pending.service, pending.want.id)
             self.exclude(name)
             if pending.want.online and not pending.answer.done():
                 pending.fail_over(self.own_name)
-                self.ask_here(pending)
+                self.ask_own_coordinator(pending)
             return
         if isinstance(reply, SlotDecisions):
             self.on_decisions(reply, name)
 
-    def ask_here(self, pending: lease_table.Pending) -> None:
-        """Ask this host's own coordinator."""
+    def ask_own_coordinator(self, pending: lease_table.Pending) -> None:
+        """Submit a slot request to this host's own coordinator."""
         coordinator = self.served.coordinator(pending.service)
         coordinator.book.set_share(self.share_of(pending.service))
         now = self.clock.monotonic()
         coordinator.act(coordinator.book.ask(pending.want, now))
 
     def on_decisions(self, update: SlotDecisions, coordinator: str) -> None:
-        """Take what a coordinator has decided."""
-        for want_id, name in update.granted.items():
-            self.on_grant(update.service, want_id, name, coordinator)
-        for want_id, seconds in update.refused.items():
-            pending = self.pending.get(want_id)
+        """Apply the decisions of a coordinator."""
+        for request_id, name in update.granted.items():
+            self.on_grant(update.service, request_id, name, coordinator)
+        for request_id, seconds in update.refused.items():
+            pending = self.pending.get(request_id)
             if pending is not None and not pending.answer.done():
                 pending.answer.set_exception(
-                    errors.NoSlot("no room in time", seconds)
+                    errors.NoSlot("no slot is free in time", seconds)
                 )
-        for want_id in update.revoked:
-            self.on_revocation(update.service, want_id, coordinator)
+        for request_id in update.revoked:
+            self.on_revocation(update.service, request_id, coordinator)
 
     def on_grant(
-        self, service: str, want_id: str, name: str, coordinator: str
+        self, service: str, request_id: str, name: str, coordinator: str
     ) -> None:
-        """Take a slot at an engine."""
-        pending = self.pending.get(want_id)
+        """Apply a grant, or return it if the request no longer waits."""
+        pending = self.pending.get(request_id)
         if pending is not None and not pending.answer.done():
             pending.answer.set_result((name, coordinator))
-        elif want_id not in self.held and pending is None:
-            self.end(coordinator, service, want_id)
+        elif request_id not in self.held and pending is None:
+            self.send_end(coordinator, service, request_id)
 
     def on_revocation(
-        self, service: str, want_id: str, coordinator: str
+        self, service: str, request_id: str, coordinator: str
     ) -> None:
-        """Take note that a slot is taken back."""
-        held = self.held.get(want_id)
+        """Apply the revocation of a slot."""
+        held = self.held.get(request_id)
         if held is not None and held.on_revoke is not None:
             held.on_revoke()
-        elif want_id in self.pending:
-            # Granted and taken back before the item took notice.
-            self.recalled.add(want_id)
+        elif request_id in self.pending:
+            # Granted and revoked before the item received the grant.
+            self.revoked_early.add(request_id)
         elif held is None:
-            # It has ended by itself, which may not be known there.
-            self.end(coordinator, service, want_id)
+            # The lease has already ended, and the coordinator may not know.
+            self.send_end(coordinator, service, request_id)
 
     def release(
         self, held: lease_table.HeldLease, outcome: enginehealth.Outcome
     ) -> None:
-        """Give a slot back, and report how its engine was."""
+        """Release a slot and report the outcome at its engine."""
         if self.held.pop(held.want.id, None) is not None:
-            self.end_all(
+            self.send_ends(
                 held.coordinators, held.service, held.want.id, outcome
             )
 
-    def end_all(
+    def send_ends(
         self,
         coordinators: Iterable[str],
         service: str,
-        want_id: str,
+        request_id: str,
         outcome: enginehealth.Outcome = enginehealth.Outcome.NOTHING,
     ) -> None:
-        """Send all coordinators that may count something its end."""
+        """Notify all coordinators that may count a request of its end."""
         for name in coordinators:
-            self.end(name, service, want_id, outcome)
+            self.send_end(name, service, request_id, outcome)
 
-    def end(
+    def send_end(
         self,
         coordinator: str,
         service: str,
-        want_id: str,
+        request_id: str,
         outcome: enginehealth.Outcome = enginehealth.Outcome.NOTHING,
     ) -> None:
-        """Send a coordinator the end of something."""
+        """Notify a coordinator that a request or lease has ended."""
         if coordinator == self.own_name:
             served = self.served.coordinator(service)
             now = self.clock.monotonic()
-            served.act(served.book.done(want_id, outcome, now))
+            served.act(served.book.done(request_id, outcome, now))
             return
         member = self.members.member(coordinator)
         if member is not None and not member.dead:
             address = configs.Address.from_text(member.peer_address)
-            self.links.notify(address, LeaseEnd(service, want_id, outcome))
+            self.links.notify(address, LeaseEnd(service, request_id, outcome))
 
-    async def on_decisions_sent(
+    async def on_later_decisions(
         self, sender: peers.Sender, update: SlotDecisions
     ) -> None:
-        """Take what a coordinator decides later."""
+        """Apply decisions that a coordinator sends after its reply."""
         self.on_decisions(update, str(sender))
 
     def in_flight(self) -> list[str]:
--- a/tests/slotclientkit.py
+++ b/tests/slotclientkit.py
@@ -1,4 +1,4 @@
-"""Hosts that ask a coordinator for slots, for tests."""
+"""Helpers for tests of hosts that request slots from a coordinator."""
 
 from camphortray import slot_client
 from tests import platformkit
@@ -8,23 +8,23 @@
 
 
 def coordinator(part):
-    """Return the coordinator of the service as one host sees it."""
+    """Return the name of the service's coordinator as one host sees it."""
     now = part.clock.monotonic()
     return part.coordinators.coordinator(SERVICE, now)
 
 
 def roles(platform):
-    """Return the coordinator of the service and another host."""
+    """Return the coordinating host of the service and another host."""
     first = platform.hosts[0].part(slot_client.SlotClient)
     name = coordinator(first)
     by_name = {
         h.part(slot_client.SlotClient).own_name: h for h in platform.hosts
     }
-    chief = by_name.pop(name)
-    return chief, next(iter(by_name.values()))
+    coordinator_host = by_name.pop(name)
+    return coordinator_host, next(iter(by_name.values()))
 
 
 async def ask(host, name):
-    """Ask a question; return its status."""
+    """Send a streamed request and return its status."""
     status, _, _ = await host.call("POST", PATH, [("Attempt-Id", name)])
     return status
--- a/tests/test_slot_client.py
+++ b/tests/test_slot_client.py
@@ -1,4 +1,4 @@
-"""The coordinator of a service: silent, lost, new, and its soft state."""
+"""Slot requests when a coordinator is unresponsive, lost or new."""
 
 import asyncio
 
@@ -16,9 +16,9 @@
 SERVICE = platformkit.SERVICE
 
 
-async def test_all_hosts_ask_one_coordinator_and_give_all_back():
+async def test_all_hosts_ask_one_coordinator_and_release_all_slots():
     async with platformkit.Platform(hosts=3) as platform:
-        chief, _ = slotclientkit.roles(platform)
+        coordinator_host, _ = slotclientkit.roles(platform)
         names = {
             slotclientkit.coordinator(h.part(slot_client.SlotClient))
             for h in platform.hosts
@@ -31,7 +31,9 @@
         ]
         assert set(await asyncio.gather(*asks)) == {200}
         book = (
-            chief.part(slot_client.SlotClient).served.by_service[SERVICE].book
+            coordinator_host.part(slot_client.SlotClient)
+            .served.by_service[SERVICE]
+            .book
         )
         await platform.until(lambda: not book.leases)
         assert not book.used
@@ -41,33 +43,34 @@
             assert not held.pending
 
 
-async def test_a_silent_coordinator_costs_a_moment_and_is_left():
-    # It stands still: links stay open and nothing comes back. The request
-    # that finds out is placed by its own host; the next ones ask another.
+async def test_hosts_fail_over_from_an_unresponsive_coordinator():
+    # The coordinator hangs: links stay open, but nothing is answered. The host
+    # grants the first request a slot itself; later requests ask the successor.
     async with platformkit.Platform(hosts=2) as platform:
-        chief, other = slotclientkit.roles(platform)
+        coordinator_host, other_host = slotclientkit.roles(platform)
 
-        async def silent(sender, message):
+        async def unresponsive(sender, message):
             await asyncio.sleep(3600)
 
-        links = chief.part(slot_client.SlotClient).links
-        links.handlers[slot_messages.SlotAsk] = silent
-        links.handlers[slot_messages.LeaseReport] = silent
-        assert await slotclientkit.ask(other, "a") == 200
-        held = other.part(slot_client.SlotClient)
+        links = coordinator_host.part(slot_client.SlotClient).links
+        links.handlers[slot_messages.SlotAsk] = unresponsive
+        links.handlers[slot_messages.LeaseReport] = unresponsive
+        assert await slotclientkit.ask(other_host, "a") == 200
+        held = other_host.part(slot_client.SlotClient)
         assert set(held.coordinators.excluded) == {
-            chief.part(slot_client.SlotClient).own_name
+            coordinator_host.part(slot_client.SlotClient).own_name
         }
         assert slotclientkit.coordinator(held) == held.own_name
         assert held.share_of(SERVICE) < 1.0
-        assert await slotclientkit.ask(other, "b") == 200
+        assert await slotclientkit.ask(other_host, "b") == 200
 
 
-async def test_an_engine_its_coordinator_does_not_know_to_leave_is_avoided():
-    # The holder has heard that the engine leaves, the coordinator not yet.
+async def test_a_grant_of_an_engine_known_to_be_leaving_is_not_used():
+    # The holder knows that the engine is leaving; the coordinator does not
+    # yet.
     async with platformkit.Platform(hosts=2) as platform:
-        _, other = slotclientkit.roles(platform)
-        held = other.part(slot_client.SlotClient)
+        _, other_host = slotclientkit.roles(platform)
+        held = other_host.part(slot_client.SlotClient)
         held.active_config.engines.leaving("i-0")
         for number in range(8):
             placed = await held.acquire(
@@ -82,24 +85,23 @@
             assert placed.upstream.name == "i-1"
 
 
-def test_a_want_travels_whole():
-    # Times travel as seconds from now; all else as it is.
+def test_a_slot_request_survives_encoding():
+    # Times are encoded relative to now; all other fields are copied.
     want = slot_scheduler.SlotRequest(
         "w", "h", False, 1, 5.0, 0.3, 4.0, 23.5, 4.75, "p",
         frozenset({"e1"}), "z", 1.5, 0.04,
     )  # fmt: skip
     text = slot_messages.WireRequest.of(want, 7.0)
     assert text.want("h", 7.0) == want
-    # One from a release that did not send the last fields.
+    # A release without the last two fields sent a shorter array.
     short = slot_messages.WireRequest(*text[:-2]).want("h", 7.0)
     assert (short.made_s, short.start_s) == (0.0, 0.0)
 
 
-async def test_a_new_book_leaves_alone_what_engines_still_run():
-    # All hosts have lost power. They are back after a second, and their
-    # engine still runs batch items of before, whose connections were never
-    # closed. A question sent there would wait in the engine for seconds; it
-    # is refused at once, and served when a slot is free there.
+async def test_a_new_coordinator_counts_what_engines_still_run():
+    # After a power loss of all hosts, an engine still runs batch items whose
+    # connections were never closed. A request sent there would wait for
+    # seconds in the engine, so it is refused at once until a slot is free.
     async with platformkit.Platform(hosts=0, engines=1) as platform:
         (engine,) = platform.engines.values()
         engine.foreign = 8
@@ -115,13 +117,13 @@
         assert await slotclientkit.ask(host, "a2") == 200
 
 
-async def test_an_engine_that_does_not_report_is_used_all_the_same(
+async def test_an_engine_without_a_load_report_is_still_used(
     monkeypatch,
 ):
-    async def silent(self, entry):
+    async def unresponsive(self, entry):
         raise errors.UpstreamTimeout("late", ran=False, step="load")
 
-    monkeypatch.setattr(slot_client.SlotClient, "runs_at", silent)
+    monkeypatch.setattr(slot_client.SlotClient, "runs_at", unresponsive)
     async with platformkit.Platform(hosts=1, engines=1) as platform:
         (host,) = platform.hosts
         assert await slotclientkit.ask(host, "a1") == 200
@@ -132,10 +134,9 @@
         )
 
 
-async def test_a_grant_that_is_taken_back_at_once_is_none(monkeypatch):
-    # Grant and recall of an item come in one packet, before the item has
-    # taken notice. Run all the same, it would share its slot with the
-    # question that has it now, inside the engine.
+async def test_a_grant_revoked_before_it_is_received_is_not_used(monkeypatch):
+    # One message grants and revokes a slot before the batch item has received
+    # it. If the item still ran, two requests would use one slot of the engine.
     async with platformkit.Platform(hosts=1, engines=1) as platform:
         part = platform.hosts[0].part(slot_client.SlotClient)
         asked = []
@@ -147,43 +148,45 @@
         want = slot_scheduler.SlotRequest("i", part.own_name, False)
         task = asyncio.create_task(part.acquire(SERVICE, want))
         await platform.until(lambda: asked)
-        word = slot_messages.SlotDecisions(SERVICE, {"i": "i-0"}, {}, ("i",))
-        part.on_decisions(word, part.own_name)
+        decisions = slot_messages.SlotDecisions(
+            SERVICE, {"i": "i-0"}, {}, ("i",)
+        )
+        part.on_decisions(decisions, part.own_name)
         await platform.until(lambda: len(asked) == 2)
         assert not part.held
-        assert not part.recalled
-        again = slot_messages.SlotDecisions(SERVICE, {asked[1]: "i-0"})
-        part.on_decisions(again, part.own_name)
+        assert not part.revoked_early
+        second_grant = slot_messages.SlotDecisions(SERVICE, {asked[1]: "i-0"})
+        part.on_decisions(second_grant, part.own_name)
         held = await task
         assert held.want.id == asked[1] != "i"
 
 
 @pytest.mark.parametrize("asker", [2, 3])
-async def test_all_hosts_leave_a_coordinator_that_its_successor_cannot_reach(
+async def test_all_hosts_exclude_a_coordinator_its_successor_cannot_reach(
     asker,
 ):
-    """Each host found out with a request of its own, which waited for it."""
+    """Each host used to find out only by a delayed request of its own."""
     async with platformkit.Platform(hosts=4) as platform:
-        chief, _ = slotclientkit.roles(platform)
+        coordinator_host, _ = slotclientkit.roles(platform)
         names = [
             host.part(slot_client.SlotClient).own_name
             for host in platform.hosts
         ]
         ranked = shards.rank(f"slots/{SERVICE}", names)
-        other = platform.hosts[names.index(ranked[asker])]
+        other_host = platform.hosts[names.index(ranked[asker])]
 
-        async def silent(sender, message):
+        async def unresponsive(sender, message):
             await asyncio.sleep(3600)
 
-        first = chief.part(slot_client.SlotClient)
-        first.links.handlers[slot_messages.SlotAsk] = silent
-        # The first request finds out; the next one asks the successor.
-        assert await slotclientkit.ask(other, "a") == 200
-        assert await slotclientkit.ask(other, "b") == 200
+        first = coordinator_host.part(slot_client.SlotClient)
+        first.links.handlers[slot_messages.SlotAsk] = unresponsive
+        # The first request times out; the next one asks the successor.
+        assert await slotclientkit.ask(other_host, "a") == 200
+        assert await slotclientkit.ask(other_host, "b") == 200
         rest = [
             host.part(slot_client.SlotClient)
             for host in platform.hosts
-            if host is not chief
+            if host is not coordinator_host
         ]
         name = first.own_name
         await platform.until(
@@ -193,19 +196,19 @@
         assert len(successors) == 1
         (successor,) = (part for part in rest if part.own_name in successors)
         assert name not in successors
-        assert await slotclientkit.ask(other, "c") == 200
+        assert await slotclientkit.ask(other_host, "c") == 200
         await platform.until(lambda: successor.share_of(SERVICE) == 1.0)
 
 
-async def test_a_coordinator_on_a_share_leaves_the_engines_alone(monkeypatch):
-    """Hundreds of hosts, each on its own, polled all engines for seconds."""
+async def test_a_coordinator_with_a_share_does_not_poll_engines(monkeypatch):
+    """Hundreds of isolated hosts polled all engines for seconds."""
     asked = []
 
-    async def noted(self, entry):
+    async def count_poll(self, entry):
         asked.append(entry.name)
         return 3
 
-    monkeypatch.setattr(slot_client.SlotClient, "runs_at", noted)
+    monkeypatch.setattr(slot_client.SlotClient, "runs_at", count_poll)
     monkeypatch.setattr(slot_client.SlotClient, "share_of", lambda *_: 0.5)
     async with platformkit.Platform(hosts=1, engines=2) as platform:
         (host,) = platform.hosts
