--- a/camphortray/lease_reporting.py
+++ b/camphortray/lease_reporting.py
@@ -1,8 +1,7 @@
-"""Reports all that a host holds to its coordinators.
+"""Reports a host's leases and pending slot requests to its coordinators.
 
-Once a second, and whenever a service has turned to another coordinator: so
-one that has just begun learns what runs, and what was lost on the way is
-made good.
+Reports are sent every second and whenever a service's coordinator changes, so
+that a new coordinator learns what runs and lost messages are made up for.
 """
 
 __all__ = ["Holder", "LeaseReporter"]
@@ -23,22 +22,22 @@
 
 LOG = logs.logger("slots")
 WireRequest = slot_messages.WireRequest
-# Seconds from one report to the next while anything is held.
-REPORT_S = 1.0
-# Time for a coordinator to take a report before it is held for silent, in
-# seconds. Nobody waits for it.
-TAKEN_S = 0.48
+# Seconds between reports.
+REPORT_INTERVAL_S = 1.0
+# Timeout in seconds for a coordinator to acknowledge a report before it is
+# excluded. May be long, because no request waits for it.
+REPORT_TIMEOUT_S = 0.48
 
 
 class Holder(slot_coordinator.CoordinatorHost):
-    """The host that holds slots and reports them.
+    """Host that holds leases and reports them.
 
     Attributes:
-      members: Of the fleet.
-      coordinators: Of the services in use.
-      served: What this host coordinates.
-      pending: Wants without an answer, by id.
-      held: Slots in use, by id of the want.
+      members: Members of the fleet.
+      coordinators: Elected coordinators of the services in use.
+      served: Services whose slots this host coordinates.
+      pending: Slot requests without an answer, by id.
+      held: Leases in use, by id of the slot request.
     """
 
     members: membership.Membership
@@ -49,20 +48,20 @@
 
     @abc.abstractmethod
     async def ask(self, pending: lease_table.Pending) -> None:
-        """Ask whoever coordinates."""
+        """Send a slot request to the coordinator of its service."""
 
     @abc.abstractmethod
     def exclude(self, name: str) -> None:
-        """Do not consider an unresponsive coordinator for a while."""
+        """Exclude an unresponsive coordinator temporarily."""
 
 
 class LeaseReporter:
     """Sends the reports of one host.
 
     Attributes:
-      holder: What it holds, and whom it asks.
-      reported_to: Coordinator that last got anything held or pending, by
-        service.
+      holder: Host whose leases and requests are reported.
+      reported_to: Coordinator that was last sent a report that was not
+        empty, by service.
     """
 
     def __init__(self, holder: Holder) -> None:
@@ -70,21 +69,21 @@
         self.reported_to: dict[str, str] = {}
 
     async def run(self) -> None:
-        """Report and clear up, for ever."""
+        """Send reports and expire stale state periodically."""
         holder = self.holder
         while True:
-            await asyncio.sleep(REPORT_S)
+            await asyncio.sleep(REPORT_INTERVAL_S)
             holder.coordinators.readmit(holder.clock.monotonic())
             holder.served.expire_holders()
             for service in list(holder.coordinators.known):
                 self.soon(service)
 
     def soon(self, service: str) -> None:
-        """Report as soon as other work lets it."""
+        """Schedule a report for a service."""
         self.holder.links.spawn(self.report(service))
 
     async def report(self, service: str) -> None:
-        """Report all that this host holds to its coordinator."""
+        """Report this host's leases and requests of a service."""
         holder = self.holder
         now = holder.clock.monotonic()
         held = [p for p in holder.held.values() if p.service == service]
@@ -102,7 +101,8 @@
                 coordinator.reconciler.report(name, leases, wants, now)
             )
         elif held or waiting or self.reported_to.get(service) == name:
-            # Once more when nothing is left: the last end may be lost.
+            # One empty report follows the last lease, since the message that
+            # ended it may have been lost.
             if held or waiting:
                 self.reported_to[service] = name
             else:
@@ -115,14 +115,14 @@
         held: Iterable[lease_table.HeldLease],
         waiting: Iterable[lease_table.Pending],
     ) -> None:
-        """Count all that is held as with the coordinator of now."""
+        """Move requests and leases to the current coordinator."""
         for pending in waiting:
             if pending.want.online and pending.coordinator != name:
-                # It waits in the queue of a coordinator that is left.
+                # The request is queued at the previous coordinator.
                 self.holder.links.spawn(self.holder.ask(pending))
             pending.fail_over(name)
-        for placement in held:
-            placement.fail_over(name)
+        for lease in held:
+            lease.fail_over(name)
 
     def message(
         self,
@@ -131,7 +131,7 @@
         wants: Iterable[slot_queue.SlotRequest],
         now: float,
     ) -> slot_messages.LeaseReport:
-        """Return a report as it travels."""
+        """Return the report as a message."""
         return slot_messages.LeaseReport(
             service,
             str(self.holder.links.address),
@@ -147,13 +147,13 @@
         )
 
     async def send(self, name: str, report: slot_messages.LeaseReport) -> None:
-        """Bring a report to another host."""
+        """Send a report to a coordinator, and exclude it on failure."""
         member = self.holder.members.member(name)
         if member is None:
             return
         address = configs.Address.from_text(member.peer_address)
         try:
-            await self.holder.links.ask(address, report, TAKEN_S)
+            await self.holder.links.ask(address, report, REPORT_TIMEOUT_S)
         except errors.MessageError as error:
-            LOG.info("No report to {}: {}", name, error)
+            LOG.info("Report to coordinator {} failed: {}", name, error)
             self.holder.exclude(name)
--- a/tests/test_lease_reporting.py
+++ b/tests/test_lease_reporting.py
@@ -1,4 +1,4 @@
-"""What hosts hold is made known to coordinators that are new, or err."""
+"""Reports of leases to coordinators that are new or have missed messages."""
 
 import asyncio
 
@@ -12,24 +12,26 @@
 from tests import slotclientkit
 
 SERVICE = platformkit.SERVICE
-# Longer than any test waits, in seconds.
+# Seconds, longer than any test waits.
 LONG_S = 2 * platformkit.READY_S
 
 
-async def test_a_coordinator_that_is_lost_is_followed_by_the_next():
+async def test_the_next_coordinator_replaces_one_that_is_lost():
     async with platformkit.Platform(hosts=2) as platform:
-        chief, other = slotclientkit.roles(platform)
+        coordinator_host, other_host = slotclientkit.roles(platform)
         for engine in platform.engines.values():
             engine.faults = ["wait"] * 4
-        asking = asyncio.ensure_future(slotclientkit.ask(other, "running"))
-        held = other.part(slot_client.SlotClient)
+        asking = asyncio.ensure_future(
+            slotclientkit.ask(other_host, "running")
+        )
+        held = other_host.part(slot_client.SlotClient)
         await platform.until(lambda: held.held)
-        await chief.kernel.stop()
-        platform.hosts.remove(chief)
+        await coordinator_host.kernel.stop()
+        platform.hosts.remove(coordinator_host)
         for engine in platform.engines.values():
             engine.faults.clear()
-        assert await slotclientkit.ask(other, "next") == 200
-        # What runs is known to the new one from its holder's report.
+        assert await slotclientkit.ask(other_host, "next") == 200
+        # The new coordinator learns of the running request from the report.
         await platform.until(
             lambda: (
                 SERVICE in held.served.by_service
@@ -44,29 +46,31 @@
         )
 
 
-async def test_an_end_that_was_lost_is_made_good_by_the_next_report():
+async def test_the_next_report_replaces_a_lost_lease_end():
     async with platformkit.Platform(hosts=2) as platform:
-        chief, other = slotclientkit.roles(platform)
-        held = other.part(slot_client.SlotClient)
-        tell, lost = held.links.notify, []
+        coordinator_host, other_host = slotclientkit.roles(platform)
+        held = other_host.part(slot_client.SlotClient)
+        send, dropped = held.links.notify, []
 
-        def lose(address, message):
-            if isinstance(message, slot_messages.LeaseEnd) and not lost:
-                lost.append(message)
+        def drop(address, message):
+            if isinstance(message, slot_messages.LeaseEnd) and not dropped:
+                dropped.append(message)
                 return
-            tell(address, message)
+            send(address, message)
 
-        held.links.notify = lose
-        assert await slotclientkit.ask(other, "a") == 200
-        assert lost
+        held.links.notify = drop
+        assert await slotclientkit.ask(other_host, "a") == 200
+        assert dropped
         book = (
-            chief.part(slot_client.SlotClient).served.by_service[SERVICE].book
+            coordinator_host.part(slot_client.SlotClient)
+            .served.by_service[SERVICE]
+            .book
         )
         assert "a.0" in book.leases
         for engine in platform.engines.values():
             engine.faults = ["wait"] * 4
-        # Something must be held, or there is nothing to report.
-        asking = asyncio.ensure_future(slotclientkit.ask(other, "b"))
+        # A second request is held, so that the next report is not empty.
+        asking = asyncio.ensure_future(slotclientkit.ask(other_host, "b"))
         await platform.until(lambda: "a.0" not in book.leases)
         for engine in platform.engines.values():
             engine.go.set()
@@ -74,26 +78,26 @@
 
 
 @pytest.fixture
-def no_clearing(monkeypatch):
-    """Let nothing be forgotten but what its holder gives back."""
+def no_expiry(monkeypatch):
+    """Keep leases from expiring, so that only their holders end them."""
     monkeypatch.setattr(slot_coordinator, "HOLDER_S", LONG_S)
 
 
-def slow_to_answer(host, until):
-    """Let a host take questions for slots and answer them late."""
+def delay_replies(host, replies_allowed):
+    """Let a host apply slot requests but delay its replies."""
     links = host.part(slot_client.SlotClient).links
     handler = links.handlers[slot_messages.SlotAsk]
 
     async def slow(sender, message):
         reply = await handler(sender, message)
-        await until.wait()
+        await replies_allowed.wait()
         return reply
 
     links.handlers[slot_messages.SlotAsk] = slow
 
 
 def books(platform):
-    """Return the books of slots of all hosts, by name."""
+    """Return the slot books of all hosts that have one, by member name."""
     parts = [host.part(slot_client.SlotClient) for host in platform.hosts]
     return {
         part.own_name: part.served.by_service[SERVICE].book
@@ -102,40 +106,46 @@
     }
 
 
-async def test_a_slot_granted_to_one_that_has_given_up_is_given_back(
-    no_clearing, monkeypatch
+async def test_a_slot_granted_after_the_request_timed_out_is_released(
+    no_expiry, monkeypatch
 ):
-    # The coordinator grants, and its word comes too late, as that of a host
-    # that stands still for a moment: the asker has decided for itself. The
-    # slot counted as taken for three seconds, until its holder was forgotten;
-    # other questions were refused with engines idle. Beside stalls of 0.1 to
-    # 0.3 s, 10 of the 16 slots were taken so when questions got 503.
-    monkeypatch.setattr(lease_reporting, "REPORT_S", LONG_S)
+    # A coordinator that stalls grants a slot after the requesting host timed
+    # out. The slot stayed taken for 3 s, until its holder expired: with stalls
+    # of 0.1 to 0.3 s, 10 of 16 slots were lost this way and requests got 503.
+    monkeypatch.setattr(lease_reporting, "REPORT_INTERVAL_S", LONG_S)
     async with platformkit.Platform(hosts=2) as platform:
-        chief, other = slotclientkit.roles(platform)
-        go = asyncio.Event()
-        slow_to_answer(chief, go)
-        assert await slotclientkit.ask(other, "a") == 200
-        book = books(platform)[chief.part(slot_client.SlotClient).own_name]
+        coordinator_host, other_host = slotclientkit.roles(platform)
+        replies_allowed = asyncio.Event()
+        delay_replies(coordinator_host, replies_allowed)
+        assert await slotclientkit.ask(other_host, "a") == 200
+        book = books(platform)[
+            coordinator_host.part(slot_client.SlotClient).own_name
+        ]
         await platform.until(lambda: not book.leases)
         assert not book.used
-        go.set()
+        replies_allowed.set()
 
 
-async def test_all_who_may_count_a_slot_are_told_of_its_end(no_clearing):
-    # The coordinator is silent; a host grants itself a slot, and turns to
-    # the next coordinator while its request runs. Only that one was told of
-    # the end. In its own book the slot stayed taken for good: with five such,
-    # the next time it had to decide for itself it refused its callers.
+async def test_every_coordinator_that_may_count_a_lease_is_told_of_its_end(
+    no_expiry,
+):
+    # A host whose coordinator is unresponsive grants itself a slot and fails
+    # over while the request runs. Only the next coordinator was told of the
+    # end; the slot stayed taken in the host's own book. After five of these,
+    # the host refused its callers when it next had to grant slots itself.
     async with platformkit.Platform(hosts=3) as platform:
-        chief, other = slotclientkit.roles(platform)
+        coordinator_host, other_host = slotclientkit.roles(platform)
         for engine in platform.engines.values():
             engine.faults = ["wait"] * 4
-        slow_to_answer(chief, asyncio.Event())
-        asking = asyncio.ensure_future(slotclientkit.ask(other, "a"))
-        held = other.part(slot_client.SlotClient)
+        delay_replies(coordinator_host, asyncio.Event())
+        asking = asyncio.ensure_future(slotclientkit.ask(other_host, "a"))
+        held = other_host.part(slot_client.SlotClient)
         await platform.until(lambda: held.held)
-        third = next(h for h in platform.hosts if h not in (chief, other))
+        third = next(
+            h
+            for h in platform.hosts
+            if h not in (coordinator_host, other_host)
+        )
         name = third.part(slot_client.SlotClient).own_name
         if slotclientkit.coordinator(held) == name:
             await platform.until(
@@ -152,32 +162,34 @@
         )
 
 
-async def test_a_lost_end_is_made_good_though_nothing_else_is_held(
-    no_clearing,
+async def test_an_empty_report_replaces_a_lost_lease_end(
+    no_expiry,
 ):
-    # The word of the last end of a host is lost with its link. It held
-    # nothing more, so it told its coordinator nothing, which counted the
-    # slot until it forgot that host.
+    # The message that ends a host's last lease is lost with its link. With
+    # nothing held the host sent no report, and the coordinator counted the
+    # slot until the host expired.
     async with platformkit.Platform(hosts=2) as platform:
-        chief, other = slotclientkit.roles(platform)
-        held = other.part(slot_client.SlotClient)
-        tell, lost = held.links.notify, []
+        coordinator_host, other_host = slotclientkit.roles(platform)
+        held = other_host.part(slot_client.SlotClient)
+        send, dropped = held.links.notify, []
 
-        def lose(address, message):
+        def drop(address, message):
             if isinstance(message, slot_messages.LeaseEnd):
-                lost.append(message)
+                dropped.append(message)
                 return
-            tell(address, message)
+            send(address, message)
 
-        held.links.notify = lose
+        held.links.notify = drop
         for engine in platform.engines.values():
             engine.faults = ["wait"] * 4
-        asking = asyncio.ensure_future(slotclientkit.ask(other, "a"))
+        asking = asyncio.ensure_future(slotclientkit.ask(other_host, "a"))
         await platform.until(lambda: held.reports.reported_to)
         for engine in platform.engines.values():
             engine.go.set()
         assert await asking == 200
-        assert lost
-        book = books(platform)[chief.part(slot_client.SlotClient).own_name]
+        assert dropped
+        book = books(platform)[
+            coordinator_host.part(slot_client.SlotClient).own_name
+        ]
         await platform.until(lambda: not book.leases)
         assert not held.reports.reported_to
