--- a/camphortray/lease_table.py
+++ b/camphortray/lease_table.py
@@ -1,6 +1,6 @@
-"""Slots that a host holds and wants that wait, for whoever asks and reports.
+"""Leases that a host holds and slot requests that wait for an answer.
 
-What becomes of them is decided by their coordinator.
+Their coordinator decides on grants and revocations.
 """
 
 __all__ = ["Granted", "HeldLease", "Pending"]
@@ -15,12 +15,13 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Granted:
-    """A slot that was granted.
+    """Answer to a slot request.
 
     Attributes:
       engine: Name of the engine.
-      coordinator: Member that gave it.
-      coordinators: All members that may count it, that one too.
+      coordinator: Member that granted the slot.
+      coordinators: All members that may count the slot as taken, including
+        ``coordinator``.
     """
 
     engine: str
@@ -30,11 +31,11 @@
 
 @dataclasses.dataclass(eq=False, slots=True, kw_only=True)
 class Coordinated:
-    """What a coordinator counts.
+    """Request or lease that coordinators count.
 
     Attributes:
-      coordinator: Member that coordinates it now.
-      earlier: Members that may still count it, which coordinated before.
+      coordinator: Current coordinator.
+      earlier: Previous coordinators that may still count it.
     """
 
     coordinator: str = ""
@@ -46,21 +47,21 @@
         return ({self.coordinator} | self.earlier) - {""}
 
     def fail_over(self, name: str) -> None:
-        """Make another coordinator the one that counts it."""
+        """Switch to another coordinator; the previous may still count it."""
         self.earlier = self.coordinators - {name}
         self.coordinator = name
 
 
 @dataclasses.dataclass(eq=False, slots=True)
 class HeldLease(Coordinated):
-    """A slot in use.
+    """Lease of a slot in use.
 
     Attributes:
-      want: What it was given for.
-      service: Whose engine.
-      upstream: The engine.
-      granted_at: When, on the monotonic clock.
-      on_revoke: Called when it is taken back; only of batch items.
+      want: Slot request that it was granted for.
+      service: Service of the engine.
+      upstream: Engine on which the slot is.
+      granted_at: Time of the grant on the monotonic clock.
+      on_revoke: Called when the slot is revoked; set for batch items only.
     """
 
     want: slot_queue.SlotRequest
@@ -72,13 +73,19 @@
 
 @dataclasses.dataclass(eq=False, slots=True)
 class Pending(Coordinated):
-    """A want that waits for its answer."""
+    """Slot request that waits for its answer.
+
+    Attributes:
+      want: Slot request.
+      service: Service whose slots are requested.
+      answer: Names of the engine and of the granting coordinator.
+    """
 
     want: slot_queue.SlotRequest
     service: str
     answer: "asyncio.Future[tuple[str, str]]"
 
     def granted(self, engine_name: str, coordinator: str) -> Granted:
-        """Return what was granted, as the answer has it."""
+        """Return the grant for the names in ``answer``."""
         names = frozenset(self.coordinators | {coordinator})
         return Granted(engine_name, coordinator, names)
