--- a/camphortray/slots.py
+++ b/camphortray/slots.py
@@ -1,4 +1,4 @@
-"""Slots on upstreams that batch work of this host may use."""
+"""Acquires slots on upstreams for this host's batch work."""
 
 __all__ = ["Slot", "Slots"]
 
@@ -21,28 +21,29 @@
 from camphortray import tree
 from camphortray import upstreams
 
-# Seconds from one request for slots to the next; grants last longer than
-# two of them, so that one lost message takes no slot away.
+# Seconds between requests for slots. Grants last longer than two intervals, so
+# that a single lost message does not lose a slot.
 RENEW_S = 0.5
-# Seconds from one look for ended grants to the next.
+# Seconds between checks for expired grants.
 LAPSE_S = 0.1
-# Least seconds between two requests sent out of turn.
-HASTE_S = 0.05
-# Least seconds from one look at the pace to the next.
-LEAST_WAIT_S = 0.005
-# Share of its slots used on an upstream for which no coordinator is known,
-# as when this host sees no entry member. Online work may be there unseen.
+# Minimum seconds between requests when further upstreams are needed; also the
+# stall of this process above which grants are extended.
+MIN_REQUEST_INTERVAL_S = 0.05
+# Minimum seconds before a paced assignment of slots is retried.
+MIN_RETRY_S = 0.005
+# Share of the slots used on an upstream without a known coordinator, as when
+# this host sees no entry member. Online work there would not be visible.
 UNCOORDINATED_SHARE = 0.25
 
 
 @dataclasses.dataclass(eq=False)
 class Slot:
-    """Leave to run one batch item on an upstream.
+    """Permission to run one batch item on an upstream.
 
     Attributes:
-      upstream: Where.
-      revoked: Set when the slot is taken back; the item is to be
-        cancelled at the engine and its tokens kept.
+      upstream: Upstream that runs the item.
+      revoked: Set when the slot is revoked; the item must then be cancelled
+        at the engine and its tokens kept.
     """
 
     upstream: engine.Upstream
@@ -51,7 +52,14 @@
 
 @dataclasses.dataclass(eq=False)
 class Waiter:
-    """An item that waits for a slot."""
+    """Batch item that waits for a slot.
+
+    Attributes:
+      service: Service on whose upstreams it may run.
+      without: Names of upstreams that are excluded.
+      prefer: Upstream whose cache holds the item's prefix, or empty.
+      slot: Slot that is assigned to it.
+    """
 
     service: settings.Service
     without: frozenset[str]
@@ -61,11 +69,11 @@
 
 @kernel.PARTS.register("batch")
 class Slots(kernel.Part):
-    """Asks coordinators for slots and hands out those granted.
+    """Requests slots from coordinators and assigns them to batch items.
 
     Attributes:
       holdings: Grants and slots in use.
-      waiters: Items that wait, first come first.
+      waiters: Items that wait for a slot, in order of arrival.
     """
 
     name: ClassVar[str] = "slots"
@@ -85,11 +93,11 @@
         self.coordinators = slot_granter.CoordinatorMap(self.members)
         self.holdings: holding.Holdings[Slot] = holding.Holdings()
         self.waiters: list[Waiter] = []
-        self.known: dict[str, engine.Upstream] = {}
-        self.asked_at = -RENEW_S
-        self.asked: set[str] = set()
+        self.known_upstreams: dict[str, engine.Upstream] = {}
+        self.requested_at = -RENEW_S
+        self.requested: set[str] = set()
         self.wake = asyncio.Event()
-        self.pacing = False
+        self.assignment_scheduled = False
         self.task: asyncio.Task[None] | None = None
         context.part(tree.Tree).listen(self.on_view)
 
@@ -104,10 +112,10 @@
         )
 
     def on_view(self, view: settings.View) -> None:
-        """Let those who wait see the upstreams that settings name now.
+        """Update waiting items to the upstreams in the new settings.
 
-        An item that waits while an operator replaces all upstreams would
-        else wait for a slot on one that is gone, and never end.
+        Otherwise an item that waits while an operator replaces all upstreams
+        would wait for ever for a slot on a removed upstream.
         """
         for waiter in self.waiters:
             name = waiter.service.name
@@ -123,10 +131,10 @@
         """Wait for a slot on an upstream of a service.
 
         Args:
-          service: Which service.
-          without: Names of upstreams that will not do.
-          prefer: Upstream that holds the item's prefix in its cache, if
-            one does; taken if it has a slot when one is handed out.
+          service: Service on whose upstreams the slot may be.
+          without: Names of upstreams to exclude.
+          prefer: Upstream whose cache holds the item's prefix, or empty;
+            chosen if it has a free slot at the time of assignment.
         """
         slot = self.free_slot(service, without, prefer)
         if slot is not None:
@@ -138,8 +146,8 @@
         try:
             return await waiter.slot
         except asyncio.CancelledError:
-            # The slot may have come in the same step of the loop; nobody
-            # else would ever give it back.
+            # The slot may have been assigned in the same step of the event
+            # loop; without this it would never be released.
             if waiter.slot.done() and not waiter.slot.cancelled():
                 await self.release(waiter.slot.result())
             raise
@@ -153,17 +161,17 @@
         without: frozenset[str],
         prefer: str = "",
     ) -> Slot | None:
-        """Return a slot on the upstream preferred or with the most free."""
+        """Take a slot on the preferred upstream or the one with most free."""
         now = self.clock.monotonic()
         best: engine.Upstream | None = None
-        most = 0
+        most_free = 0
         for candidate in self.upstreams.candidates(service, without):
             free = self.holdings.free(now, candidate.upstream.name)
             if free and candidate.upstream.name == prefer:
                 best = candidate.upstream
                 break
-            if free > most:
-                best, most = candidate.upstream, free
+            if free > most_free:
+                best, most_free = candidate.upstream, free
         if best is None:
             return None
         slot = Slot(best)
@@ -171,14 +179,15 @@
         return slot
 
     async def release(self, slot: Slot) -> None:
-        """Give a slot back."""
+        """Release a slot and assign it to a waiting item."""
         self.holdings.give_back(slot.upstream.name, slot)
-        self.hand_out()
+        self.assign_slots()
 
-    def hand_out(self) -> None:
-        """Give free slots to those who wait.
+    def assign_slots(self) -> None:
+        """Assign free slots to waiting items.
 
-        Items that were preempted come first where their prefix is cached.
+        Preempted items go first if a slot is free where their prefix is
+        cached.
         """
         now = self.clock.monotonic()
         free = {
@@ -187,7 +196,7 @@
             if self.holdings.free(now, name)
         }
         if not free:
-            self.hand_out_later()
+            self.schedule_assignment()
             return
         for waiter in sorted(
             self.waiters, key=lambda waiter: waiter.prefer not in free
@@ -205,26 +214,26 @@
                     self.holdings.give_back(slot.upstream.name, slot)
                 else:
                     waiter.slot.set_result(slot)
-        self.hand_out_later()
+        self.schedule_assignment()
 
-    def hand_out_later(self) -> None:
-        """Look again once another slot may be taken, if one is granted."""
-        at = self.holdings.next_free_at()
-        if self.pacing or not self.waiters or at is None:
+    def schedule_assignment(self) -> None:
+        """Schedule an assignment for when the pace allows another slot."""
+        next_at = self.holdings.next_free_at()
+        if self.assignment_scheduled or not self.waiters or next_at is None:
             return
-        self.pacing = True
-        wait_s = max(LEAST_WAIT_S, at - self.clock.monotonic())
-        asyncio.get_running_loop().call_later(wait_s, self.hand_out_paced)
+        self.assignment_scheduled = True
+        wait_s = max(MIN_RETRY_S, next_at - self.clock.monotonic())
+        asyncio.get_running_loop().call_later(wait_s, self.assign_paced_slots)
 
-    def hand_out_paced(self) -> None:
-        """Hand out what the pace now allows."""
-        self.pacing = False
-        self.hand_out()
+    def assign_paced_slots(self) -> None:
+        """Assign the slots that the pace now allows."""
+        self.assignment_scheduled = False
+        self.assign_slots()
 
     async def on_grants(
         self, sender: peers.Sender, message: grant_messages.Grants
     ) -> None:
-        """Take grants; slots above them are revoked."""
+        """Apply grants, revoking the slots in use above them."""
         now = self.clock.monotonic()
         for upstream, slots in message.slots.items():
             self.revoke(
@@ -236,10 +245,10 @@
                     message.pace_ms / 1000,
                 )
             )
-        self.hand_out()
+        self.assign_slots()
 
     def revoke(self, slots: list[Slot]) -> None:
-        """Tell those who hold slots to stop."""
+        """Signal the holders of slots that these are revoked."""
         for slot in slots:
             slot.revoked.set()
             self.context.metrics.inc(
@@ -249,72 +258,80 @@
             )
 
     def wants(self) -> dict[str, grant_messages.Want]:
-        """Return what this host could use, by upstream."""
+        """Return the number of slots this host could use, by upstream."""
         waiting: collections.Counter[str] = collections.Counter()
-        alike = collections.Counter(
+        counts = collections.Counter(
             (waiter.service.name, waiter.without) for waiter in self.waiters
         )
         services = {w.service.name: w.service for w in self.waiters}
-        for (name, without), count in alike.items():
+        for (name, without), count in counts.items():
             for candidate in self.upstreams.candidates(
                 services[name], without
             ):
-                self.known[candidate.upstream.name] = candidate.upstream
+                self.known_upstreams[candidate.upstream.name] = (
+                    candidate.upstream
+                )
                 waiting[candidate.upstream.name] += count
         used = dict(self.holdings.in_use())
         return {
             name: grant_messages.Want(
                 waiting[name] + used.get(name, 0), used.get(name, 0)
             )
-            for name in sorted({*waiting, *used, *self.asked})
+            for name in sorted({*waiting, *used, *self.requested})
         }
 
     def ask(self) -> None:
-        """Ask every coordinator for what could be used."""
+        """Request slots from every coordinator concerned."""
         wants = self.wants()
-        self.asked = {name for name, want in wants.items() if want.wanted}
+        self.requested = {name for name, want in wants.items() if want.wanted}
         grouped: dict[str, dict[str, grant_messages.Want]] = (
             collections.defaultdict(dict)
         )
         for name, want in wants.items():
             member = self.coordinators.of(name)
             if member is None:
-                self.grant_alone(name, want)
+                self.grant_uncoordinated(name, want)
             else:
                 grouped[member.peer_address][name] = want
         own = str(self.peers.address)
-        for address, asked in grouped.items():
+        for address, requested in grouped.items():
             self.peers.notify(
                 configs.Address.from_text(address),
-                grant_messages.Wants(own, asked),
+                grant_messages.Wants(own, requested),
             )
-        self.asked_at = self.clock.monotonic()
+        self.requested_at = self.clock.monotonic()
 
-    def grant_alone(self, name: str, want: grant_messages.Want) -> None:
-        """Use a small share of an upstream that nobody coordinates."""
-        upstream = self.known.get(name)
+    def grant_uncoordinated(
+        self, name: str, want: grant_messages.Want
+    ) -> None:
+        """Grant a small share of an upstream without a coordinator."""
+        upstream = self.known_upstreams.get(name)
         limit = upstream.slots if upstream is not None else 0
         allowed = min(want.wanted, max(1, int(limit * UNCOORDINATED_SHARE)))
         now = self.clock.monotonic()
         self.revoke(self.holdings.grant(now, name, allowed, 2 * RENEW_S))
-        self.hand_out()
+        self.assign_slots()
 
     async def run(self) -> None:
-        """Ask in time and give up what has ended."""
+        """Request slots periodically and revoke those whose grant expired."""
         while True:
             if not self.waiters and not any(self.holdings.in_use()):
                 self.wake.clear()
                 await self.wake.wait()
             now = self.clock.monotonic()
-            new = any(name not in self.asked for name in self.wants())
-            waited = now - self.asked_at
-            if waited >= RENEW_S or (new and waited >= HASTE_S):
+            has_new = any(name not in self.requested for name in self.wants())
+            elapsed_s = now - self.requested_at
+            if elapsed_s >= RENEW_S or (
+                has_new and elapsed_s >= MIN_REQUEST_INTERVAL_S
+            ):
                 self.ask()
             self.revoke(self.holdings.lapse(self.clock.monotonic()))
-            stood_s = await timers.sleep(LAPSE_S if self.asked else HASTE_S)
-            if stood_s > HASTE_S:
+            stall_s = await timers.sleep(
+                LAPSE_S if self.requested else MIN_REQUEST_INTERVAL_S
+            )
+            if stall_s > MIN_REQUEST_INTERVAL_S:
                 now = self.clock.monotonic()
-                self.holdings.stood_still(now, min(stood_s, RENEW_S))
+                self.holdings.stood_still(now, min(stall_s, RENEW_S))
                 self.ask()
 
     async def stop(self) -> None:
--- a/tests/test_slots.py
+++ b/tests/test_slots.py
@@ -1,4 +1,4 @@
-"""Granting and holding of batch slots over several hosts, in virtual time."""
+"""Granting and use of batch slots across several hosts, in virtual time."""
 
 import asyncio
 import contextlib
@@ -16,11 +16,11 @@
 
 pytestmark = pytest.mark.looptime
 UPSTREAM = "engine-0"
-TOLD = (fleets.SERVICE, UPSTREAM, False)
+SIGNAL = (fleets.SERVICE, UPSTREAM, False)
 
 
 class Holders:
-    """Batch hosts that hold whatever slots they can get."""
+    """Batch hosts that take and hold all slots they are granted."""
 
     def __init__(self, fleet, each=20):
         self.fleet = fleet
@@ -47,7 +47,7 @@
 
 
 @contextlib.asynccontextmanager
-async def started():
+async def started_fleet():
     """Run a fleet of three hosts and one engine."""
     fleet = fleets.Fleet(3, 1, {"model.lm.version": "1"}, seed=1)
     await fleet.start()
@@ -56,53 +56,53 @@
 
 
 @contextlib.asynccontextmanager
-async def full():
-    """Run a fleet whose engine is full of batch items."""
-    async with started() as fleet:
+async def full_fleet():
+    """Run a fleet whose engine is filled with batch items."""
+    async with started_fleet() as fleet:
         holders = Holders(fleet)
         await asyncio.sleep(4)
         yield fleet, holders
         await holders.stop()
 
 
-def boss_of(fleet):
-    """Return the entry program that coordinates the upstream."""
+def coordinating_entry(fleet):
+    """Return the entry program of the host that coordinates the upstream."""
     live = fleet.entries[0].part(membership.Membership).live("entry")
     name = slot_granter.coordinator_of(UPSTREAM, live).host
     return next(p for p in fleet.entries if p.context.config.host.name == name)
 
 
-async def test_idle_capacity_is_shared_out():
-    async with full() as (fleet, holders):
+async def test_idle_capacity_is_divided_evenly():
+    async with full_fleet() as (fleet, holders):
         assert sum(holders.running) == 32
         assert max(holders.running) - min(holders.running) <= 1
 
 
 @pytest.mark.parametrize("entry", [0, 1, 2])
-async def test_batch_yields_on_any_host_to_any_host(entry):
-    async with full() as (fleet, holders):
-        # A caller's burst comes in at one host while batch items of all three
-        # fill the engine, which would read the prompts of both in turn. The
-        # host tells the coordinator, which takes slots back from all holders.
-        tell = fleet.entries[entry].part(signals.Signals)
+async def test_online_work_at_one_host_revokes_slots_of_all_hosts(entry):
+    async with full_fleet() as (fleet, holders):
+        # A burst of online requests arrives at one host while batch items of
+        # all three fill the engine. The host reports it to the coordinator,
+        # which revokes slots of all holders.
+        signal_part = fleet.entries[entry].part(signals.Signals)
         for _ in range(4):
-            tell.begun(*TOLD)
+            signal_part.begun(*SIGNAL)
         await asyncio.sleep(0.03)
         assert sum(holders.running) == 0
         for _ in range(4):
-            tell.first_token(*TOLD, 0.03)
-            tell.ended(*TOLD, True)
+            signal_part.first_token(*SIGNAL, 0.03)
+            signal_part.ended(*SIGNAL, True)
         await asyncio.sleep(2)
         assert sum(holders.running) == 32
 
 
-async def test_grants_end_when_the_coordinator_is_gone():
-    async with full() as (fleet, holders):
-        # The coordinator is cut off. Nobody can tell holders that online work
-        # has come, so what they hold ends by itself in about a second; the
-        # next coordinator, once known, starts again from what is held.
-        boss = boss_of(fleet)
-        host = boss.context.config.host.name
+async def test_grants_expire_when_the_coordinator_is_lost():
+    async with full_fleet() as (fleet, holders):
+        # With the coordinator cut off, nobody can revoke slots for online
+        # work, so grants expire by themselves in about a second. The next
+        # coordinator, once known, starts from the slots still held.
+        coordinator_entry = coordinating_entry(fleet)
+        host = coordinator_entry.context.config.host.name
         fleet.network.cut.add(host)
         own = [p.context.config.host.name for p in fleet.batches].index(host)
         await asyncio.sleep(coordinator.GRANT_S + 0.2)
@@ -116,10 +116,10 @@
         assert sum(others) == 32
 
 
-async def test_who_waits_sees_upstreams_that_settings_name_later():
-    # An item waits for a service whose upstreams an operator then
-    # replaces. It must get a slot on a new one, or its job never ends.
-    async with started() as fleet:
+async def test_a_waiting_item_gets_a_slot_on_an_upstream_added_later():
+    # An operator replaces the upstreams of a service while an item waits for a
+    # slot. The item must get one on a new upstream, or its job never ends.
+    async with started_fleet() as fleet:
         part = fleet.batches[0].part(slots.Slots)
         before = settings.Service(fleet.service.path, ())
         waiting = asyncio.ensure_future(part.acquire(before))
@@ -131,18 +131,18 @@
             assert (await waiting).upstream.name == UPSTREAM
 
 
-async def test_a_lost_message_takes_no_slot():
-    async with full() as (fleet, holders):
-        boss = boss_of(fleet).context.config.host.name
-        fleet.network.cut.add(boss)
+async def test_a_lost_message_does_not_lose_slots():
+    async with full_fleet() as (fleet, holders):
+        coordinator_entry = coordinating_entry(fleet).context.config.host.name
+        fleet.network.cut.add(coordinator_entry)
         await asyncio.sleep(0.5)
         fleet.network.cut.clear()
         await asyncio.sleep(0.5)
         assert sum(holders.running) == 32
 
 
-async def test_without_a_coordinator_little_is_used():
-    async with started() as fleet:
+async def test_without_a_coordinator_a_small_share_is_used():
+    async with started_fleet() as fleet:
         for program in fleet.batches:
             members = program.part(membership.Membership)
             for number in range(3):
@@ -153,10 +153,10 @@
         await holders.stop()
 
 
-async def test_a_cancelled_wait_loses_no_slot():
-    async with started() as fleet:
-        # An item is cancelled in the very step in which its slot is handed
-        # out. Whoever else waits must get that slot.
+async def test_a_slot_assigned_to_a_cancelled_item_is_released():
+    async with started_fleet() as fleet:
+        # An item is cancelled in the same event loop step in which its slot is
+        # assigned. Another waiting item must get that slot.
         part = fleet.batches[0].part(slots.Slots)
         tasks = [
             asyncio.ensure_future(part.acquire(fleet.service))
@@ -175,8 +175,8 @@
         assert any(task.cancelled() for task in tasks[:20])
 
 
-async def test_a_preempted_item_returns_to_its_cache():
-    async with started() as fleet:
+async def test_a_preempted_item_goes_first_where_its_prefix_is_cached():
+    async with started_fleet() as fleet:
         part = fleet.batches[0].part(slots.Slots)
         part.holdings.grant(
             asyncio.get_running_loop().time(), "engine-0", 1, 9
@@ -200,10 +200,10 @@
             task.cancel()
 
 
-async def test_control_stays_within_its_budget():
-    async with full() as (fleet, holders):
-        # Eight arrivals a second at every host, each told to the coordinator,
-        # with slots taken back and granted again all the time.
+async def test_control_traffic_stays_within_its_budget():
+    async with full_fleet() as (fleet, holders):
+        # Eight arrivals a second at every host, each reported to the
+        # coordinator, with slots constantly revoked and granted again.
         before = dict(fleet.network.sent)
         loop = asyncio.get_running_loop()
         began = loop.time()
@@ -211,10 +211,12 @@
             if loop.time() - began >= 20:
                 break
             for program in fleet.entries:
-                tell = program.part(signals.Signals)
-                tell.begun(*TOLD)
-                loop.call_later(0.05, tell.first_token, *TOLD, 0.05)
-                loop.call_later(0.5 + number % 3, tell.ended, *TOLD, True)
+                signal_part = program.part(signals.Signals)
+                signal_part.begun(*SIGNAL)
+                loop.call_later(0.05, signal_part.first_token, *SIGNAL, 0.05)
+                loop.call_later(
+                    0.5 + number % 3, signal_part.ended, *SIGNAL, True
+                )
             await asyncio.sleep(0.125)
         for name, sent in fleet.network.sent.items():
             assert (sent - before.get(name, 0)) / 20 < 3000, name
