--- a/camphortray/grant_messages.py
+++ b/camphortray/grant_messages.py
@@ -1,4 +1,4 @@
-"""Messages about batch slots between hosts and coordinators."""
+"""Messages between hosts and coordinators of batch slots."""
 
 __all__ = ["Grants", "OnlineWork", "Want", "Wants", "Work"]
 
@@ -10,9 +10,11 @@
 
 
 class Work(NamedTuple):
-    """A ``headroom.Load`` in few bytes: it travels as an array.
+    """Compact form of ``headroom.Load``, encoded as an array.
 
     Attributes:
+      in_flight: Requests at the upstream.
+      pending: Those of them without a first token yet.
       strain_pct: Strain in whole percent.
     """
 
@@ -22,11 +24,11 @@
 
     @classmethod
     def from_load(cls, load: headroom.Load) -> "Work":
-        """Return what travels for a load."""
+        """Return the encoded form of a load."""
         return cls(load.in_flight, load.pending, round(load.strain * 100))
 
     def load(self) -> headroom.Load:
-        """Return the load that travelled."""
+        """Return the load that was encoded."""
         return headroom.Load(
             self.in_flight, self.pending, self.strain_pct / 100
         )
@@ -35,17 +37,17 @@
 @messages.message("slots.online")
 @dataclasses.dataclass(frozen=True, slots=True)
 class OnlineWork:
-    """Tells a coordinator of online work, by upstream."""
+    """Reports a host's online work to a coordinator, by upstream."""
 
     works: dict[str, Work]
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Want:
-    """What a host could use on one upstream.
+    """Slots that a host could use on one upstream.
 
     Attributes:
-      wanted: Slots it could use, those in use included.
+      wanted: Slots it could use, including those in use.
       held: Slots in use.
     """
 
@@ -56,10 +58,11 @@
 @messages.message("slots.want")
 @dataclasses.dataclass(frozen=True, slots=True)
 class Wants:
-    """Asks a coordinator for slots, by upstream.
+    """Requests slots from a coordinator, by upstream.
 
     Attributes:
-      address: Peer address to which grants go.
+      address: Peer address to which grants are sent.
+      wants: Slots the host could use, by upstream.
     """
 
     address: str
@@ -69,14 +72,15 @@
 @messages.message("slots.grant")
 @dataclasses.dataclass(frozen=True, slots=True)
 class Grants:
-    """Tells a host how many slots it may use, by upstream.
+    """Grants a host slots, by upstream.
 
     Attributes:
-      slots: Takes the place of the grant before.
-      hold_ms: Milliseconds it holds from its arrival; whole numbers take
-        a third of the bytes, and most messages are of this kind.
-      pace_ms: Least milliseconds from one slot taken on an upstream to the
-        next, by this host.
+      slots: Number of slots granted; replaces the previous grant.
+      hold_ms: Milliseconds until the grant expires, counted from its arrival.
+        An integer takes a third of the bytes of a float, and most messages
+        are of this type.
+      pace_ms: Minimum milliseconds between two slots that the host takes on
+        one upstream.
     """
 
     slots: dict[str, int]
