--- a/camphortray/holding.py
+++ b/camphortray/holding.py
@@ -1,4 +1,4 @@
-"""Batch slots that this host has been granted, and which it must give up."""
+"""Tracks batch slots granted to this host and selects those to revoke."""
 
 __all__ = ["Holding", "Holdings"]
 
@@ -12,33 +12,33 @@
 
 @dataclasses.dataclass(slots=True)
 class Holding(Generic[T]):
-    """Slots on one upstream.
+    """Grant and slots on one upstream.
 
     Attributes:
-      granted: How many may be in use.
-      until: When the grant ends.
-      used: Those in use, the oldest first.
-      yielding: Those told to stop that have not been given back.
-      pace_s: Least seconds from one slot taken to the next.
-      next_at: Before this no further slot is taken.
+      granted: Number of slots that may be in use.
+      until: When the grant expires.
+      used: Slots in use, oldest first.
+      revoked: Revoked slots that have not been released yet.
+      pace_s: Minimum seconds between two slots taken.
+      next_at: Earliest time at which another slot may be taken.
     """
 
     granted: int = 0
     until: float = 0.0
     used: list[T] = dataclasses.field(default_factory=list)
-    yielding: list[T] = dataclasses.field(default_factory=list)
+    revoked: list[T] = dataclasses.field(default_factory=list)
     pace_s: float = 0.0
     next_at: float = 0.0
 
 
 class Holdings(Generic[T]):
-    """Grants and slots of all upstreams."""
+    """Grants and slots of all upstreams, as used by this host."""
 
     def __init__(self) -> None:
         self.holdings: dict[str, Holding[T]] = {}
 
     def of(self, upstream: str) -> Holding[T]:
-        """Return the slots on an upstream."""
+        """Return the grant and slots on an upstream."""
         return self.holdings.setdefault(upstream, Holding())
 
     def grant(
@@ -49,86 +49,86 @@
         seconds: float,
         pace_s: float = 0.0,
     ) -> list[T]:
-        """Take a grant; return the slots to give up."""
+        """Apply a grant and return the slots to revoke."""
         holding = self.of(upstream)
         holding.pace_s = pace_s
         holding.granted = slots
         holding.until = now + seconds
-        return self.excess(holding)
+        return self.revoke_excess(holding)
 
-    def stood_still(self, now: float, seconds: float) -> None:
-        """Let grants hold for some time more after a pause of this process.
+    def extend_after_stall(self, now: float, seconds: float) -> None:
+        """Extend grants after this process was stalled.
 
-        Their renewals lie unread, or could not be asked for. Given up
-        unheard, all items would be sent again at once, to engines that read
-        their prompts anew, for a pause in which nobody had taken a slot
-        away. The time is for one question and its answer; a coordinator that
-        has given the slots to others says so in it.
+        Renewals may be unread or not yet requested. If the grants expired, all
+        items would be restarted at once and engines would process their
+        prompts again, although no slot was revoked. The extension allows one
+        request and reply, in which a coordinator reports slots granted to
+        others.
 
         Args:
-          now: Present time.
-          seconds: Least time that grants hold from now on.
+          now: Current time.
+          seconds: Minimum time until the grants expire.
         """
         for holding in self.holdings.values():
             if holding.granted:
                 holding.until = max(holding.until, now + seconds)
 
-    def lapse(self, now: float) -> list[T]:
-        """Return the slots to give up because their grant ended."""
-        lost: list[T] = []
+    def expire(self, now: float) -> list[T]:
+        """Expire grants and return the slots to revoke."""
+        excess: list[T] = []
         for holding in self.holdings.values():
             if holding.until <= now:
                 holding.granted = 0
-                lost += self.excess(holding)
-        return lost
+                excess += self.revoke_excess(holding)
+        return excess
 
-    def excess(self, holding: Holding[T]) -> list[T]:
-        """Mark the youngest slots above the grant as yielding.
+    def revoke_excess(self, holding: Holding[T]) -> list[T]:
+        """Revoke the newest slots above the grant and return them.
 
-        The youngest have made the fewest tokens, so that reading prompt
-        and tokens again costs least; and those whose prompt is being read
-        right now are what makes the engine's steps long.
+        The newest items have generated the fewest tokens, so processing their
+        prompt and tokens again costs least. Items whose prompt is being
+        processed are also those that lengthen the engine's steps.
         """
         kept = max(0, holding.granted)
-        lost = holding.used[kept:]
+        excess = holding.used[kept:]
         del holding.used[kept:]
-        holding.yielding += lost
-        return lost
+        holding.revoked += excess
+        return excess
 
     def free(self, now: float, upstream: str) -> int:
-        """Return how many more slots may be taken."""
+        """Return how many more slots may be taken now."""
         holding = self.of(upstream)
         if holding.until <= now or now < holding.next_at:
             return 0
-        # A slot told to stop is still busy at the engine.
-        busy = len(holding.used) + len(holding.yielding)
+        # A revoked slot is busy at the engine until it is released.
+        busy = len(holding.used) + len(holding.revoked)
         return max(0, holding.granted - busy)
 
     def next_free_at(self) -> float | None:
-        """Return when the pace allows the next granted slot, if one is."""
+        """Return when the pace allows another slot, or None without one."""
         times = [
             holding.next_at
             for holding in self.holdings.values()
-            if holding.granted > len(holding.used) + len(holding.yielding)
+            if holding.granted > len(holding.used) + len(holding.revoked)
         ]
         return min(times, default=None)
 
     def take(self, now: float, upstream: str, slot: T) -> None:
-        """Count a slot as in use."""
+        """Mark a slot as in use."""
         holding = self.of(upstream)
         holding.used.append(slot)
         holding.next_at = now + holding.pace_s
 
-    def give_back(self, upstream: str, slot: T) -> None:
-        """Count a slot as free."""
+    def release(self, upstream: str, slot: T) -> None:
+        """Release a slot, whether revoked or in use."""
         holding = self.of(upstream)
-        for slots in (holding.used, holding.yielding):
+        for slots in (holding.used, holding.revoked):
             if slot in slots:
                 slots.remove(slot)
                 return
 
     def in_use(self) -> Iterator[tuple[str, int]]:
-        """Yield upstreams on which slots are in use and how many."""
+        """Yield upstreams with slots in use or revoked, and their number."""
         for name, holding in self.holdings.items():
-            if holding.used or holding.yielding:
-                yield name, len(holding.used) + len(holding.yielding)
+            if holding.used or holding.revoked:
+                yield name, len(holding.used) + len(holding.revoked)
--- a/camphortray/slots.py
+++ b/camphortray/slots.py
@@ -180,7 +180,7 @@
 
     async def release(self, slot: Slot) -> None:
         """Release a slot and assign it to a waiting item."""
-        self.holdings.give_back(slot.upstream.name, slot)
+        self.holdings.release(slot.upstream.name, slot)
         self.assign_slots()
 
     def assign_slots(self) -> None:
@@ -211,7 +211,7 @@
                     free.discard(slot.upstream.name)
                 self.waiters.remove(waiter)
                 if waiter.slot.done():
-                    self.holdings.give_back(slot.upstream.name, slot)
+                    self.holdings.release(slot.upstream.name, slot)
                 else:
                     waiter.slot.set_result(slot)
         self.schedule_assignment()
@@ -325,13 +325,13 @@
                 has_new and elapsed_s >= MIN_REQUEST_INTERVAL_S
             ):
                 self.ask()
-            self.revoke(self.holdings.lapse(self.clock.monotonic()))
+            self.revoke(self.holdings.expire(self.clock.monotonic()))
             stall_s = await timers.sleep(
                 LAPSE_S if self.requested else MIN_REQUEST_INTERVAL_S
             )
             if stall_s > MIN_REQUEST_INTERVAL_S:
                 now = self.clock.monotonic()
-                self.holdings.stood_still(now, min(stall_s, RENEW_S))
+                self.holdings.extend_after_stall(now, min(stall_s, RENEW_S))
                 self.ask()
 
     async def stop(self) -> None:
--- a/tests/test_coordinator.py
+++ b/tests/test_coordinator.py
@@ -152,7 +152,7 @@
 
 
 class TestHoldings:
-    def test_the_youngest_slots_go_first(self):
+    def test_the_newest_slots_are_revoked_first(self):
         held = holding.Holdings()
         assert held.grant(0.0, "u", 3, 1.0, pace_s=0.05) == []
         for now, slot in enumerate(("old", "mid", "new")):
@@ -162,25 +162,25 @@
         assert held.grant(0.4, "u", 1, 1.0) == ["mid", "new"]
         assert held.free(0.4, "u") == 0
 
-    def test_a_slot_told_to_stop_is_busy_until_given_back(self):
-        # A grant is cut and raised again before the engine has heard of
-        # the cancellation. Counting the slot as free at once would run
-        # more at the engine than was granted.
+    def test_a_revoked_slot_is_busy_until_released(self):
+        # A grant is reduced and raised again before the cancellation reaches
+        # the engine. If the slot counted as free at once, the engine would run
+        # more items than were granted.
         held = holding.Holdings()
         held.grant(0.0, "u", 1, 1.0)
         held.take(0.0, "u", "x")
         held.grant(0.1, "u", 0, 1.0)
         held.grant(0.2, "u", 1, 1.0)
         assert held.free(0.2, "u") == 0
-        held.give_back("u", "x")
+        held.release("u", "x")
         assert held.free(0.2, "u") == 1
 
-    def test_a_grant_that_is_not_renewed_ends(self):
+    def test_a_grant_that_is_not_renewed_expires(self):
         held = holding.Holdings()
         held.grant(0.0, "u", 2, 1.2)
         held.take(0.0, "u", "x")
-        assert held.lapse(1.1) == []
-        assert held.lapse(1.3) == ["x"]
+        assert held.expire(1.1) == []
+        assert held.expire(1.3) == ["x"]
         assert held.free(1.3, "u") == 0
 
 
