--- a/camphortray/slot_granter.py
+++ b/camphortray/slot_granter.py
@@ -1,6 +1,6 @@
-"""Grants the batch slots of the upstreams that this host coordinates.
+"""Grants batch slots on the upstreams that this host coordinates.
 
-Tells other coordinators of this host's online work, too. See
+Also reports this host's online work to other coordinators. See
 docs/design/slots.md.
 """
 
@@ -27,19 +27,20 @@
 from camphortray import timers
 from camphortray import tree
 
-# Seconds from one look at reports and coordinated upstreams to the next.
+# Seconds between passes over due reports and coordinated upstreams.
 TICK_S = 0.02
-# Most time for which hosts are believed after a pause of this process: enough
-# to read what they have said meanwhile.
-STOOD_S = 0.25
+# Maximum seconds by which hosts' state is extended after a stall of this
+# process: enough to read the messages that arrived meanwhile.
+MAX_STALL_EXTENSION_S = 0.25
 
 
 def coordinator_of(
     upstream: str, members: Iterable[membership.Member]
 ) -> membership.Member | None:
     """Return the entry member that coordinates an upstream, if any."""
-    # A suspected one may be lost: batch work would stand still until it is
-    # held for dead. Being wrong costs a second coordinator for a moment.
+    # A suspected member may be lost, and batch work would stop until it is
+    # declared dead. A false suspicion only causes two coordinators for a
+    # moment.
     alive = membership.Status.ALIVE
     by_name = {m.name: m for m in members if m.status is alive}
     name = shards.preferred(f"slots/{upstream}", by_name)
@@ -47,10 +48,10 @@
 
 
 class CoordinatorMap:
-    """Who coordinates which upstream, worked out once per change.
+    """Caches the coordinator of each upstream until a member changes.
 
-    Ranking all members for each report would take a host at the target
-    size more processor time than all of its control may.
+    At the target size, ranking all members for each report would exceed a
+    host's processor budget for control.
     """
 
     def __init__(self, members: membership.Membership) -> None:
@@ -59,11 +60,11 @@
         members.listen(self.on_member)
 
     def on_member(self, member: membership.Member) -> None:
-        """Rank anew when a member has changed."""
+        """Clear the cache when a member has changed."""
         self.known.clear()
 
     def of(self, upstream: str) -> membership.Member | None:
-        """Return the coordinator of an upstream, if there is any."""
+        """Return the coordinator of an upstream, or None if there is none."""
         if upstream not in self.known:
             self.known[upstream] = coordinator_of(
                 upstream, self.members.live("entry")
@@ -73,11 +74,11 @@
 
 @kernel.PARTS.register("entry")
 class SlotGranter(kernel.Part, signals.Listener):
-    """Coordinator of some upstreams, and reporter to the others'.
+    """Coordinates some upstreams and reports to coordinators of the others.
 
     Attributes:
-      coordinators: Soft state by name of upstream.
-      reports: Online work of this host.
+      coordinators: Soft state of coordinated upstreams, by upstream name.
+      reports: Online work of this host and the reports due.
     """
 
     name: ClassVar[str] = "slot_granter"
@@ -95,13 +96,13 @@
         self.members = context.part(membership.Membership)
         self.tree = context.part(tree.Tree)
         self.coordinators: dict[str, coordinator.Coordinator] = {}
-        self.map = CoordinatorMap(self.members)
+        self.coordinator_map = CoordinatorMap(self.members)
         self.holders: dict[str, configs.Address] = {}
         self.reports = online.OnlineReports()
-        self.ttft_s: dict[str, float] = {}
-        self.itl_s: dict[str, float] = {}
-        self.by_upstream: dict[str, settings.Service] = {}
-        self.work = asyncio.Event()
+        self.ttft_objectives_s: dict[str, float] = {}
+        self.itl_objectives_s: dict[str, float] = {}
+        self.service_by_upstream: dict[str, settings.Service] = {}
+        self.wake = asyncio.Event()
         self.task: asyncio.Task[None] | None = None
 
     @classmethod
@@ -111,31 +112,35 @@
     async def start(self) -> None:
         self.tree.listen(self.on_view)
         self.context.part(signals.Signals).add(self)
-        self.peers.on(grant_messages.OnlineWork, self.on_online)
+        self.peers.on(grant_messages.OnlineWork, self.on_online_work)
         self.peers.on(grant_messages.Wants, self.on_wants)
         self.task = asyncio.get_running_loop().create_task(
             tasks.forever("grants of slots", self.run)
         )
 
     def on_view(self, view: settings.View) -> None:
-        """Take new settings; headroom is built anew from them."""
+        """Apply new settings and rebuild the headroom policies."""
         services = view.services.items()
-        self.ttft_s = {n: s.get("objective.ttft_s") for n, s in services}
-        self.itl_s = {n: s.get("objective.itl_s") for n, s in services}
-        self.by_upstream = {
+        self.ttft_objectives_s = {
+            n: s.get("objective.ttft_s") for n, s in services
+        }
+        self.itl_objectives_s = {
+            n: s.get("objective.itl_s") for n, s in services
+        }
+        self.service_by_upstream = {
             name: service
             for service in view.services.values()
             for name in service.upstreams
         }
         for name in list(self.coordinators):
-            if name in self.by_upstream:
-                self.coordinators[name].room = self.room_of(name)
+            if name in self.service_by_upstream:
+                self.coordinators[name].policy = self.room_of(name)
             else:
                 del self.coordinators[name]
 
     def room_of(self, upstream: str) -> headroom.Headroom:
-        """Return the headroom that an upstream's service asks for."""
-        service = self.by_upstream[upstream]
+        """Return the headroom policy set by an upstream's service."""
+        service = self.service_by_upstream[upstream]
         return headroom.headroom_for(
             service.upstreams[upstream].slots,
             service.get("priority"),
@@ -146,15 +151,15 @@
         if not batch:
             self.reports.begun(self.clock.monotonic(), upstream)
             self.report()
-            self.work.set()
+            self.wake.set()
 
     def first_token(
         self, service: str, upstream: str, batch: bool, seconds: float
     ) -> None:
         if not batch:
             now = self.clock.monotonic()
-            # A service that settings no longer have strains nothing.
-            strain = seconds / self.ttft_s.get(service, math.inf)
+            # A service removed from the settings has no objective.
+            strain = seconds / self.ttft_objectives_s.get(service, math.inf)
             self.reports.first_token(now, upstream, seconds, strain)
 
     def next_token(
@@ -162,7 +167,7 @@
     ) -> None:
         if not batch:
             now = self.clock.monotonic()
-            strain = seconds / self.itl_s.get(service, math.inf)
+            strain = seconds / self.itl_objectives_s.get(service, math.inf)
             self.reports.next_token(now, upstream, strain)
 
     def ended(
@@ -172,19 +177,19 @@
             self.reports.ended(upstream)
 
     def report(self) -> None:
-        """Tell each coordinator what is due."""
+        """Send due reports of online work to the coordinators."""
         due = self.reports.due(self.clock.monotonic())
         grouped: dict[str, dict[str, headroom.Load]] = collections.defaultdict(
             dict
         )
         for upstream, load in due.items():
-            member = self.map.of(upstream)
+            member = self.coordinator_map.of(upstream)
             if member is not None:
                 grouped[member.peer_address][upstream] = load
         own = self.members.members[self.members.own_name].peer_address
         for address, loads in grouped.items():
             if address == own:
-                self.take_loads(self.context.config.host.name, loads)
+                self.apply_loads(self.context.config.host.name, loads)
             else:
                 works = {
                     upstream: grant_messages.Work.from_load(load)
@@ -195,38 +200,40 @@
                     grant_messages.OnlineWork(works),
                 )
 
-    async def on_online(
+    async def on_online_work(
         self, sender: peers.Sender, message: grant_messages.OnlineWork
     ) -> None:
-        """Take a host's word about its online work."""
+        """Apply a host's report of its online work."""
         loads = {name: work.load() for name, work in message.works.items()}
-        self.take_loads(sender.host, loads)
+        self.apply_loads(sender.host, loads)
 
-    def take_loads(self, host: str, loads: dict[str, headroom.Load]) -> None:
-        """Take back slots where online work has come."""
+    def apply_loads(self, host: str, loads: dict[str, headroom.Load]) -> None:
+        """Update online work and revoke slots where it has increased."""
         now = self.clock.monotonic()
         for upstream, load in loads.items():
-            held = self.state_of(upstream)
-            if held is not None:
-                held.online(now, host, load)
+            state = self.coordinator_state(upstream)
+            if state is not None:
+                state.update_load(now, host, load)
                 self.decide(upstream)
 
     async def on_wants(
         self, sender: peers.Sender, message: grant_messages.Wants
     ) -> None:
-        """Grant a host what there is, also if nothing has changed."""
+        """Answer a request for slots, even if no grant has changed."""
         now = self.clock.monotonic()
         self.holders[sender.host] = configs.Address.from_text(message.address)
         for upstream, want in message.wants.items():
-            held = self.state_of(upstream)
-            if held is not None:
-                held.want(now, sender.host, want.wanted, want.held)
+            state = self.coordinator_state(upstream)
+            if state is not None:
+                state.update_request(now, sender.host, want.wanted, want.held)
                 self.decide(upstream)
-        self.renew(sender.host, message)
-        self.work.set()
+        self.send_all_grants(sender.host, message)
+        self.wake.set()
 
-    def renew(self, host: str, message: grant_messages.Wants) -> None:
-        """Tell a host its grants on all upstreams it asked for."""
+    def send_all_grants(
+        self, host: str, message: grant_messages.Wants
+    ) -> None:
+        """Send a host its grants on all requested upstreams."""
         granted = {
             upstream: self.coordinators[upstream].holders[host].granted
             for upstream in message.wants
@@ -234,14 +241,17 @@
         }
         self.grant(host, granted)
 
-    def state_of(self, upstream: str) -> coordinator.Coordinator | None:
-        """Return the state of an upstream, made on first use.
+    def coordinator_state(
+        self, upstream: str
+    ) -> coordinator.Coordinator | None:
+        """Return the coordinator state of an upstream, created on first use.
 
-        A host that is asked by mistake coordinates too: what it does not
-        know of makes it grant too much for a moment, which costs speed.
+        A host that is not the coordinator also grants when asked by mistake.
+        Without the reports of other hosts it may grant too many slots for a
+        moment, which only costs speed.
         """
         if upstream not in self.coordinators:
-            if upstream not in self.by_upstream:
+            if upstream not in self.service_by_upstream:
                 return None
             self.coordinators[upstream] = coordinator.Coordinator(
                 self.room_of(upstream), self.clock.monotonic()
@@ -249,7 +259,7 @@
         return self.coordinators[upstream]
 
     def decide(self, *upstreams: str) -> None:
-        """Tell hosts of changed grants, in one message each."""
+        """Send changed grants, in one message per host."""
         now = self.clock.monotonic()
         changed: dict[str, dict[str, int]] = collections.defaultdict(dict)
         for upstream in upstreams:
@@ -259,10 +269,10 @@
             self.grant(host, grants)
 
     def grant(self, host: str, slots: dict[str, int]) -> None:
-        """Send grants to a host."""
+        """Send a host its grants."""
         paces = [
-            held.pace_s()
-            for name, held in self.coordinators.items()
+            state.pace_s()
+            for name, state in self.coordinators.items()
             if name in slots
         ]
         message = grant_messages.Grants(
@@ -273,28 +283,29 @@
         self.peers.notify(self.holders[host], message)
 
     async def run(self) -> None:
-        """Report and decide while there is anything to do."""
+        """Send reports and decide on grants while there is work."""
         while True:
             if not self.reports.works and not self.busy():
-                self.work.clear()
-                await self.work.wait()
-            stood_s = await timers.sleep(TICK_S)
-            if stood_s:
-                self.stood_still(stood_s)
+                self.wake.clear()
+                await self.wake.wait()
+            stall_s = await timers.sleep(TICK_S)
+            if stall_s:
+                self.extend_after_stall(stall_s)
             self.report()
             self.decide(*self.coordinators)
 
-    def stood_still(self, seconds: float) -> None:
-        """Take note that this process stood still."""
+    def extend_after_stall(self, seconds: float) -> None:
+        """Extend the state of hosts after this process was stalled."""
         now = self.clock.monotonic()
-        more_s = min(seconds, STOOD_S)
-        for held in self.coordinators.values():
-            held.stood_still(now, more_s)
+        extension_s = min(seconds, MAX_STALL_EXTENSION_S)
+        for state in self.coordinators.values():
+            state.extend_after_stall(now, extension_s)
 
     def busy(self) -> bool:
-        """Return whether a coordinated upstream is in use."""
+        """Return whether any coordinated upstream has holders or reports."""
         return any(
-            held.holders or held.reports for held in self.coordinators.values()
+            state.holders or state.reports
+            for state in self.coordinators.values()
         )
 
     async def stop(self) -> None:
--- a/tests/test_coordinator.py
+++ b/tests/test_coordinator.py
@@ -1,4 +1,4 @@
-"""Division of an upstream's batch slots, and the headroom behind it."""
+"""Division of an upstream's batch slots, headroom policies and reports."""
 
 import pytest
 
@@ -16,12 +16,12 @@
 
 
 def grown(wanted, until=5.0, hosts=("a", "b"), **of):
-    """Return a coordinator whose holders have had time to grow."""
+    """Return a coordinator that has granted all the slots it may."""
     made = coordinator.Coordinator(steered(**of), 0.0)
     now = 0.0
     while now < until:
         for host in hosts:
-            made.want(
+            made.update_request(
                 now,
                 host,
                 wanted,
@@ -46,57 +46,56 @@
         (headroom.Load(8, 8), "throughput", 0),
     ],
 )
-def test_online_work_takes_slots_back_at_once(load, priority, left):
+def test_online_work_revokes_slots_at_once(load, priority, left):
     made = grown(40, priority=priority)
     assert made.granted() == 32
-    made.online(5.0, "c", load)
+    made.update_load(5.0, "c", load)
     made.decide(5.0)
     assert made.granted() == left
 
 
 def test_slots_grow_back_in_steps_after_a_burst():
     made = grown(40)
-    made.online(5.0, "c", headroom.Load(8, 8))
+    made.update_load(5.0, "c", headroom.Load(8, 8))
     assert made.decide(5.0) == {"a": 0, "b": 0}
-    made.online(5.0, "c", headroom.Load(0, 0))
+    made.update_load(5.0, "c", headroom.Load(0, 0))
     totals = []
     for step in range(200):
         now = 5.0 + step * 0.02
         for host in "ab":
-            made.want(now, host, 40, 0)
+            made.update_request(now, host, 40, 0)
         made.decide(now)
         totals.append(made.granted())
-    # None while the next request of the burst may be on its way.
+    # No growth while another request of the burst may still arrive.
     assert totals[int(LATENCY.settle_s / 0.02) - 2] == 0
     assert totals[-1] == 32
     steps = [b - a for a, b in zip(totals, totals[1:], strict=False)]
     assert max(steps) <= LATENCY.growth_per_s * 0.2
 
 
-def test_a_new_coordinator_is_careful():
-    # The coordinator of an upstream is lost. Its grants run on for a
-    # second, and the next one knows of none of them. Granting afresh it
-    # would fill the upstream twice, so it leaves hosts what they say they
-    # hold and adds nothing until the old grants have ended.
+def test_a_new_coordinator_adds_no_slots_until_old_grants_expire():
+    # After the loss of a coordinator its grants last for another second, and
+    # its successor does not know them. To avoid granting the slots twice, the
+    # successor confirms what hosts report as held and adds nothing until then.
     made = coordinator.Coordinator(steered(), 0.0)
     for now in (0.0, 0.4, 0.8):
-        made.want(now, "a", 40, 10)
-        made.want(now, "b", 40, 0)
+        made.update_request(now, "a", 40, 10)
+        made.update_request(now, "b", 40, 0)
         made.decide(now)
         assert made.granted() <= 10
     for now in (1.3, 1.4, 1.5, 1.6, 1.7, 1.8, 1.9, 2.0, 2.1):
-        made.want(now, "a", 40, 10)
-        made.want(now, "b", 40, 0)
+        made.update_request(now, "a", 40, 10)
+        made.update_request(now, "b", 40, 0)
         made.decide(now)
     assert made.granted() > 10
 
 
-def test_what_nobody_repeats_is_forgotten():
+def test_requests_and_reports_that_are_not_repeated_expire():
     made = grown(40)
-    made.online(5.0, "c", headroom.Load(20, 4))
+    made.update_load(5.0, "c", headroom.Load(20, 4))
     made.decide(5.0)
     assert made.granted() == 0
-    made.want(8.5, "a", 40, 0)
+    made.update_request(8.5, "a", 40, 0)
     made.decide(8.5)
     assert "b" not in made.holders
     assert "c" not in made.reports
@@ -106,7 +105,9 @@
     "used_for, strain, cut",
     [(3.0, 2.0, True), (3.0, 0.5, False), (0.2, 2.0, False)],
 )
-def test_the_ceiling_falls_only_for_strain_of_batch(used_for, strain, cut):
+def test_the_ceiling_is_cut_only_for_strain_caused_by_batch_work(
+    used_for, strain, cut
+):
     room = steered()
     room.target(0.0, headroom.Load(), 0)
     steps = int(used_for / 0.1)
@@ -115,7 +116,7 @@
     assert (room.ceiling < 32) == cut
 
 
-def test_the_ways_not_chosen_keep_their_promises():
+def test_the_alternative_policies_compute_their_targets():
     burst = headroom.RecentBurst(32, window_s=10.0)
     assert burst.target(0.0, headroom.Load(20), 0) == 12
     assert burst.target(9.0, headroom.Load(0), 0) == 12
@@ -134,20 +135,20 @@
         (8, {"a": 9, "b": 9, "c": 9}, {"a": 5, "b": 5, "c": 5}),
     ],
 )
-def test_division_gives_all_there_is_and_no_more(total, wanted, held):
+def test_division_grants_exactly_the_total(total, wanted, held):
     shares = coordinator.divide(total, wanted, held)
     assert sum(shares.values()) == min(total, sum(wanted.values()))
     assert all(shares[name] <= wanted[name] for name in wanted)
     left = [shares[n] for n in wanted if shares[n] < wanted[n]]
-    assert not left or max(left) - min(left) <= coordinator.APART
+    assert not left or max(left) - min(left) <= coordinator.MAX_IMBALANCE_SLOTS
 
 
-def test_division_leaves_slots_where_they_are():
-    # Holders' wishes change all the time. Dividing anew by wish each time
-    # preempted items only to give their slots to another holder.
+def test_division_does_not_move_slots_when_demand_changes():
+    # Demand changes constantly. Dividing by demand each time preempted items
+    # only to give their slots to another holder.
     held = {"a": 5, "b": 4, "c": 3}
-    for wishes in ((9, 8, 7), (7, 8, 9), (20, 5, 6)):
-        wanted = dict(zip("abc", wishes, strict=True))
+    for demands in ((9, 8, 7), (7, 8, 9), (20, 5, 6)):
+        wanted = dict(zip("abc", demands, strict=True))
         assert coordinator.divide(12, wanted, held) == held
 
 
