--- a/camphortray/headroom.py
+++ b/camphortray/headroom.py
@@ -1,4 +1,4 @@
-"""How many batch slots an upstream can give without harm to online work."""
+"""Policies for the number of batch slots an upstream can spare."""
 
 __all__ = [
     "FixedShare",
@@ -18,13 +18,13 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Load:
-    """Online work at one upstream, over all hosts that told of it.
+    """Online work at one upstream, of one host or summed over hosts.
 
     Attributes:
-      in_flight: Requests at the upstream.
-      pending: Those of them whose first token has not come.
-      strain: Worst recent latency as a share of its objective; 1.0 is
-        just met.
+      in_flight: Number of requests at the upstream.
+      pending: Number of those without a first token yet.
+      strain: Worst recent latency relative to its objective; at 1.0 the
+        objective is just met.
     """
 
     in_flight: int = 0
@@ -41,24 +41,24 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Profile:
-    """How one priority weighs online latency against batch throughput.
+    """Trade-off of one priority between online latency and batch throughput.
 
     Attributes:
-      yield_per_pending: Slots taken back for each online request that
-        waits for its first token. Prompts are read in the order of
-        arrival and one step reads several, so that each batch stream
-        makes exactly the steps longer that a burst waits for.
-      burst_arrivals: Online requests that come within ``BURST_S`` and so
-        make a burst. All slots are taken back until it is over: each
-        request of a burst waits for steps that batch streams lengthen,
-        while for a single one that is not worth reading prompts again.
+      yield_per_pending: Slots revoked for each online request that waits for
+        its first token. Engines process prompts in order of arrival, several
+        per step, so each batch stream lengthens the steps that a burst of
+        requests waits for.
+      burst_arrivals: Number of online requests within ``BURST_WINDOW_S`` that
+        make a burst. All slots are revoked until the burst is over, since
+        batch streams lengthen the steps of all its requests. For a single
+        request, that would not be worth processing the prompts again.
       growth_per_s: Slots added per second; see ``Headroom.growth``.
-      settle_s: Seconds without a waiting request before slots grow.
-      pace_s: Seconds from one batch item that begins to the next. Prompts
-        that come together are read in one long step, which an online
-        request that comes meanwhile has to sit out.
+      settle_s: Seconds without a pending request before slots are added.
+      pace_s: Minimum seconds between the starts of two batch items. Prompts
+        that arrive together are processed in one long step, which delays an
+        online request that arrives meanwhile.
       strain_high: Strain at which the ceiling is cut.
-      ceiling_per_s: Slots by which the ceiling rises again per second.
+      ceiling_per_s: Slots per second by which the ceiling recovers.
     """
 
     yield_per_pending: float
@@ -74,26 +74,27 @@
     "latency": Profile(4.0, 4, 80.0, 0.1, 0.015, 0.9, 16.0),
     "throughput": Profile(2.0, 8, 150.0, 0.05, 0.015, 1.5, 32.0),
 }
-# Slots in which online work is rounded up.
-STEP = 2
-# Seconds in which online requests count as coming together.
-BURST_S = 0.25
-# Slots added per second where no profile says otherwise.
+# Multiple of slots to which online work is rounded up.
+ROUNDING_SLOTS = 2
+# Seconds within which online requests count towards one burst.
+BURST_WINDOW_S = 0.25
+# Slots added per second by policies without a profile.
 GROWTH_PER_S = 60.0
-# Seconds between items where no profile says otherwise.
+# Seconds between the starts of batch items in policies without a profile.
 PACE_S = 0.015
-# Least seconds from one cut of the ceiling to the next: the effect of a
-# cut shows only after the requests begun before it are through.
-CUT_EVERY_S = 1.0
-CUT = 0.5
+# Minimum seconds between two cuts of the ceiling. The effect of a cut shows
+# only after the requests sent before it have finished.
+CUT_INTERVAL_S = 1.0
+# Share of the granted slots that remains after a cut.
+CUT_FACTOR = 0.5
 
 
 class Headroom(abc.ABC):
-    """Decides the number of batch slots of one upstream.
+    """Policy that decides the number of batch slots of one upstream.
 
     Attributes:
-      slots: Requests the upstream may run at once.
-      pace_s: Seconds from one batch item that begins to the next.
+      slots: Number of requests the upstream may run concurrently.
+      pace_s: Minimum seconds between the starts of two batch items.
     """
 
     def __init__(self, slots: int) -> None:
@@ -102,25 +103,25 @@
 
     @abc.abstractmethod
     def target(self, now: float, load: Load, granted: int) -> int:
-        """Return how many batch slots may be in use from now on.
+        """Return the number of batch slots that may be in use.
 
         Args:
-          now: Monotonic seconds.
+          now: Current monotonic time in seconds.
           load: Online work at the upstream.
-          granted: Batch slots granted up to now.
+          granted: Number of batch slots granted now.
         """
 
     def growth(self, now: float) -> float:
-        """Return how many slots per second may be added now.
+        """Return the number of slots per second that may be added.
 
-        Each new batch stream brings a prompt to be read; many at once make
-        one long step that the next online request would have to sit out.
+        Each new batch stream has a prompt to process. Many at once make one
+        long step, which delays the next online request.
         """
         return GROWTH_PER_S
 
 
 class FixedShare(Headroom):
-    """A fixed share of the slots, whatever online work comes."""
+    """Grants a fixed share of the slots, regardless of online work."""
 
     def __init__(self, slots: int, share: float = 0.5) -> None:
         super().__init__(slots)
@@ -131,7 +132,7 @@
 
 
 class RecentBurst(Headroom):
-    """Keeps as many slots free as the largest recent burst took."""
+    """Keeps as many slots free as the largest recent online load used."""
 
     def __init__(self, slots: int, window_s: float = 10.0) -> None:
         super().__init__(slots)
@@ -148,10 +149,13 @@
 
 
 class LatencySteered(Headroom):
-    """Yields to waiting requests at once, and to latency near its limit.
+    """Reduces slots for pending requests at once, and for high latency.
 
     Attributes:
-      ceiling: Limit that follows measured latency.
+      ceiling: Limit on the slots, adjusted to the measured latency.
+      last_pending_at: When requests were last pending.
+      cut_at: When the ceiling was last cut.
+      granted_since: Since when batch slots have been granted.
     """
 
     def __init__(self, slots: int, profile: Profile) -> None:
@@ -159,67 +163,66 @@
         self.profile = profile
         self.pace_s = profile.pace_s
         self.ceiling = float(slots)
-        self.changed_at: float | None = None
-        self.waited_at = -profile.settle_s
-        self.cut_at = -CUT_EVERY_S
-        self.used_since = 0.0
+        self.updated_at: float | None = None
+        self.last_pending_at = -profile.settle_s
+        self.cut_at = -CUT_INTERVAL_S
+        self.granted_since = 0.0
         self.pending = 0
         self.arrivals: collections.deque[float] = collections.deque()
 
     def target(self, now: float, load: Load, granted: int) -> int:
-        before = now if self.changed_at is None else self.changed_at
-        self.changed_at = now
-        self.used_since = self.used_since if granted else now
-        self.steer(now, max(0.0, now - before), load.strain, granted)
-        # In whole steps: one request more or less would else send new
-        # grants to every holder each time.
-        taken = -(-load.in_flight // STEP) * STEP
-        room = min(self.ceiling, float(self.slots - taken))
+        last_at = now if self.updated_at is None else self.updated_at
+        self.updated_at = now
+        self.granted_since = self.granted_since if granted else now
+        self.adjust_ceiling(now, max(0.0, now - last_at), load.strain, granted)
+        # Rounded, so that a change by one request does not send new grants to
+        # every holder.
+        online_slots = -(-load.in_flight // ROUNDING_SLOTS) * ROUNDING_SLOTS
+        available = min(self.ceiling, float(self.slots - online_slots))
         if load.pending:
-            self.waited_at = now
-            room -= self.profile.yield_per_pending * load.pending
+            self.last_pending_at = now
+            available -= self.profile.yield_per_pending * load.pending
         if self.in_burst(now, load):
             return 0
-        return max(0, int(room))
+        return max(0, int(available))
 
     def in_burst(self, now: float, load: Load) -> bool:
-        """Return whether online requests come close together."""
-        new = max(0, load.pending - self.pending)
+        """Return whether recent online requests make a burst."""
+        arrived = max(0, load.pending - self.pending)
         self.pending = load.pending
-        self.arrivals.extend([now] * new)
-        while self.arrivals and self.arrivals[0] < now - BURST_S:
+        self.arrivals.extend([now] * arrived)
+        while self.arrivals and self.arrivals[0] < now - BURST_WINDOW_S:
             self.arrivals.popleft()
         return len(self.arrivals) >= self.profile.burst_arrivals
 
     def growth(self, now: float) -> float:
-        if now - self.waited_at < self.profile.settle_s:
+        if now - self.last_pending_at < self.profile.settle_s:
             return 0.0
         return self.profile.growth_per_s
 
-    def steer(
-        self, now: float, passed: float, strain: float, granted: int
+    def adjust_ceiling(
+        self, now: float, elapsed_s: float, strain: float, granted: int
     ) -> None:
-        """Cut the ceiling under strain that batch work had a part in.
+        """Adjust the ceiling, cutting it for strain that batch work adds to.
 
-        Bursts strain the engine by themselves. A cut for a latency measured
-        while no batch work ran would leave the seconds after the burst
-        unused and help nobody.
+        A burst alone also causes strain. A cut for latency measured without
+        batch work would only leave slots unused after the burst.
         """
         if strain < self.profile.strain_high:
-            risen = self.ceiling + passed * self.profile.ceiling_per_s
-            self.ceiling = min(float(self.slots), risen)
-        elif now - max(self.cut_at, self.used_since) >= CUT_EVERY_S:
+            raised = self.ceiling + elapsed_s * self.profile.ceiling_per_s
+            self.ceiling = min(float(self.slots), raised)
+        elif now - max(self.cut_at, self.granted_since) >= CUT_INTERVAL_S:
             self.cut_at = now
-            self.ceiling = max(1.0, granted * CUT)
+            self.ceiling = max(1.0, granted * CUT_FACTOR)
 
 
 def headroom_for(slots: int, priority: str, share: float) -> Headroom:
-    """Return the headroom of an upstream as its service sets it.
+    """Return the headroom policy for the settings of a service.
 
     Args:
-      slots: Requests the upstream may run at once.
+      slots: Number of requests the upstream may run concurrently.
       priority: ``"latency"`` or ``"throughput"``.
-      share: Share of the slots that batch work may use at all.
+      share: Maximum share of the slots that batch work may use.
     """
     profile = PROFILES.get(priority, PROFILES["latency"])
     return LatencySteered(int(slots * share), profile)
--- a/tests/test_coordinator.py
+++ b/tests/test_coordinator.py
@@ -11,25 +11,25 @@
 GRANT_S = coordinator.GRANT_S
 
 
-def steered(slots=32, priority="latency"):
+def latency_policy(slots=32, priority="latency"):
     return headroom.headroom_for(slots, priority, 1.0)
 
 
-def grown(wanted, until=5.0, hosts=("a", "b"), **of):
+def grown_coordinator(wanted, until=5.0, hosts=("a", "b"), **of):
     """Return a coordinator that has granted all the slots it may."""
-    made = coordinator.Coordinator(steered(**of), 0.0)
+    state = coordinator.Coordinator(latency_policy(**of), 0.0)
     now = 0.0
     while now < until:
         for host in hosts:
-            made.update_request(
+            state.update_request(
                 now,
                 host,
                 wanted,
-                made.holders[host].granted if host in made.holders else 0,
+                state.holders[host].granted if host in state.holders else 0,
             )
-        made.decide(now)
+        state.decide(now)
         now += 0.02
-    return made
+    return state
 
 
 @pytest.mark.parametrize(
@@ -47,25 +47,25 @@
     ],
 )
 def test_online_work_revokes_slots_at_once(load, priority, left):
-    made = grown(40, priority=priority)
-    assert made.granted() == 32
-    made.update_load(5.0, "c", load)
-    made.decide(5.0)
-    assert made.granted() == left
+    state = grown_coordinator(40, priority=priority)
+    assert state.granted() == 32
+    state.update_load(5.0, "c", load)
+    state.decide(5.0)
+    assert state.granted() == left
 
 
 def test_slots_grow_back_in_steps_after_a_burst():
-    made = grown(40)
-    made.update_load(5.0, "c", headroom.Load(8, 8))
-    assert made.decide(5.0) == {"a": 0, "b": 0}
-    made.update_load(5.0, "c", headroom.Load(0, 0))
+    state = grown_coordinator(40)
+    state.update_load(5.0, "c", headroom.Load(8, 8))
+    assert state.decide(5.0) == {"a": 0, "b": 0}
+    state.update_load(5.0, "c", headroom.Load(0, 0))
     totals = []
     for step in range(200):
         now = 5.0 + step * 0.02
         for host in "ab":
-            made.update_request(now, host, 40, 0)
-        made.decide(now)
-        totals.append(made.granted())
+            state.update_request(now, host, 40, 0)
+        state.decide(now)
+        totals.append(state.granted())
     # No growth while another request of the burst may still arrive.
     assert totals[int(LATENCY.settle_s / 0.02) - 2] == 0
     assert totals[-1] == 32
@@ -77,28 +77,28 @@
     # After the loss of a coordinator its grants last for another second, and
     # its successor does not know them. To avoid granting the slots twice, the
     # successor confirms what hosts report as held and adds nothing until then.
-    made = coordinator.Coordinator(steered(), 0.0)
+    state = coordinator.Coordinator(latency_policy(), 0.0)
     for now in (0.0, 0.4, 0.8):
-        made.update_request(now, "a", 40, 10)
-        made.update_request(now, "b", 40, 0)
-        made.decide(now)
-        assert made.granted() <= 10
+        state.update_request(now, "a", 40, 10)
+        state.update_request(now, "b", 40, 0)
+        state.decide(now)
+        assert state.granted() <= 10
     for now in (1.3, 1.4, 1.5, 1.6, 1.7, 1.8, 1.9, 2.0, 2.1):
-        made.update_request(now, "a", 40, 10)
-        made.update_request(now, "b", 40, 0)
-        made.decide(now)
-    assert made.granted() > 10
+        state.update_request(now, "a", 40, 10)
+        state.update_request(now, "b", 40, 0)
+        state.decide(now)
+    assert state.granted() > 10
 
 
 def test_requests_and_reports_that_are_not_repeated_expire():
-    made = grown(40)
-    made.update_load(5.0, "c", headroom.Load(20, 4))
-    made.decide(5.0)
-    assert made.granted() == 0
-    made.update_request(8.5, "a", 40, 0)
-    made.decide(8.5)
-    assert "b" not in made.holders
-    assert "c" not in made.reports
+    state = grown_coordinator(40)
+    state.update_load(5.0, "c", headroom.Load(20, 4))
+    state.decide(5.0)
+    assert state.granted() == 0
+    state.update_request(8.5, "a", 40, 0)
+    state.decide(8.5)
+    assert "b" not in state.holders
+    assert "c" not in state.reports
 
 
 @pytest.mark.parametrize(
@@ -108,12 +108,12 @@
 def test_the_ceiling_is_cut_only_for_strain_caused_by_batch_work(
     used_for, strain, cut
 ):
-    room = steered()
-    room.target(0.0, headroom.Load(), 0)
+    policy = latency_policy()
+    policy.target(0.0, headroom.Load(), 0)
     steps = int(used_for / 0.1)
     for step in range(1, steps + 1):
-        room.target(step * 0.1, headroom.Load(2, 0, strain), 20)
-    assert (room.ceiling < 32) == cut
+        policy.target(step * 0.1, headroom.Load(2, 0, strain), 20)
+    assert (policy.ceiling < 32) == cut
 
 
 def test_the_alternative_policies_compute_their_targets():
