--- a/camphortray/online.py
+++ b/camphortray/online.py
@@ -1,4 +1,4 @@
-"""What a host reports of its online work at each upstream, and how often."""
+"""Tracks a host's online work at each upstream and when to report it."""
 
 __all__ = ["OnlineReports", "REPEAT_S"]
 
@@ -6,79 +6,88 @@
 
 from camphortray import headroom
 
-# Seconds after which a report is repeated while there is online work.
+# Seconds after which an unchanged report is repeated while there is online
+# work.
 REPEAT_S = 1.0
 # Seconds for which a measured latency counts towards the strain.
-STRAIN_S = 0.5
-# Weight of one latency in their mean.
+STRAIN_WINDOW_S = 0.5
+# Weight of one latency in their exponential moving average.
 STRAIN_WEIGHT = 0.1
-# Least seconds from one report on an upstream to the next. A first
-# arrival, and each doubling after it, is reported at once all the same.
-SETTLE_S = 0.02
-# A request counts as waiting for its first token for at most this long;
-# one that is not streamed gives no sign when it starts to decode.
-PENDING_S = 1.0
-# Reports a host may send per second in the long run, and at once. A report
-# on one upstream takes about 45 bytes, so that this stays near 1 KB/s.
-RATE = 20.0
-BURST = 60.0
-RESERVE = 10.0
+# Minimum seconds between two reports on an upstream, except for a first
+# pending request and each doubling of the pending requests.
+MIN_INTERVAL_S = 0.02
+# Maximum seconds for which a request counts as pending. A request that is not
+# streamed does not show when its first token is generated.
+MAX_PENDING_S = 1.0
+# Sustained rate, burst size and reserve of the limit on reports of a host. A
+# report on one upstream takes about 45 bytes, so the rate is about 1 KB/s.
+REPORTS_PER_S = 20.0
+BURST_REPORTS = 60.0
+# Part of the burst that only reports of arrivals may use.
+RESERVED_REPORTS = 10.0
 
 
 @dataclasses.dataclass(slots=True)
 class Work:
-    """Online work at one upstream as this host sees it.
+    """Online work of this host at one upstream.
 
     Attributes:
-      begun: When each request still waiting for its first token began.
-      flowing: Requests whose first token has come.
-      strain: Mean of recent latencies as shares of their objectives; one
-        long step is no breach of an objective that holds for a share.
+      begun: Start times of the requests without a first token yet.
+      flowing: Number of requests with a first token.
+      strain: Mean of recent latencies relative to their objectives. A mean,
+        since objectives hold for a share of the tokens, so that one long step
+        does not breach them.
       strained_at: When the last latency was measured.
-      reported: What was reported last.
-      reported_at: When.
+      reported: Load that was last reported.
+      reported_at: When it was reported.
     """
 
     begun: list[float] = dataclasses.field(default_factory=list)
     flowing: int = 0
     strain: float = 0.0
-    strained_at: float = -STRAIN_S
+    strained_at: float = -STRAIN_WINDOW_S
     reported: headroom.Load = headroom.Load()
     reported_at: float = -REPEAT_S
 
     def load(self, now: float) -> headroom.Load:
-        """Return the work as it is now."""
-        if now - self.strained_at >= STRAIN_S:
+        """Return the current load."""
+        if now - self.strained_at >= STRAIN_WINDOW_S:
             self.strain = 0.0
-        pending = sum(1 for at in self.begun if at > now - PENDING_S)
-        # Rounded, so that noise alone is no news.
+        pending = sum(1 for at in self.begun if at > now - MAX_PENDING_S)
+        # Rounded, so that noise does not cause reports.
         return headroom.Load(
             len(self.begun) + self.flowing, pending, round(self.strain, 1)
         )
 
-    def note(self, now: float, strain: float) -> None:
-        """Take a latency into the mean."""
+    def add_latency(self, now: float, strain: float) -> None:
+        """Add a latency, relative to its objective, to the mean."""
         self.strain += STRAIN_WEIGHT * (strain - self.strain)
         self.strained_at = now
 
 
 class OnlineReports:
-    """Counts online work and says which reports are due."""
+    """Counts online work and decides which reports are due.
+
+    Attributes:
+      works: Online work, by upstream.
+      allowance: Number of reports that may be sent now.
+      refilled_at: When the allowance was last refilled.
+    """
 
     def __init__(self) -> None:
         self.works: dict[str, Work] = {}
-        self.allowance = BURST
-        self.allowed_at = 0.0
+        self.allowance = BURST_REPORTS
+        self.refilled_at = 0.0
 
     def work(self, upstream: str) -> Work:
-        """Return the work at an upstream."""
+        """Return the work at an upstream, creating it if needed."""
         work = self.works.get(upstream)
         if work is None:
             work = self.works[upstream] = Work()
         return work
 
     def begun(self, now: float, upstream: str) -> None:
-        """Count a request sent."""
+        """Count a request that was sent."""
         self.work(upstream).begun.append(now)
 
     def first_token(
@@ -86,7 +95,7 @@
     ) -> None:
         """Count a first token, ``seconds`` after its request began."""
         work = self.work(upstream)
-        work.note(now, strain)
+        work.add_latency(now, strain)
         if work.begun:
             began = now - seconds
             nearest = min(work.begun, key=lambda at: abs(at - began))
@@ -94,11 +103,11 @@
             work.flowing += 1
 
     def next_token(self, now: float, upstream: str, strain: float) -> None:
-        """Take note of a later token."""
-        self.work(upstream).note(now, strain)
+        """Record the latency of a token after the first."""
+        self.work(upstream).add_latency(now, strain)
 
     def ended(self, upstream: str) -> None:
-        """Count a request as gone."""
+        """Remove a request from the count."""
         work = self.work(upstream)
         if work.flowing:
             work.flowing -= 1
@@ -106,29 +115,30 @@
             work.begun.pop(0)
 
     def due(self, now: float) -> dict[str, headroom.Load]:
-        """Return the reports to send now, by upstream."""
+        """Return the loads to report now, by upstream."""
         self.refill(now)
         due = {}
         for name, work in self.works.items():
             load = work.load(now)
-            # Arrivals may use all of the allowance, the rest leaves some.
-            least = 1.0 if is_arrival(work, load) else RESERVE
-            if self.allowance >= least and is_due(now, work, load):
+            # Arrivals may use the whole allowance, other reports not the
+            # reserve.
+            required = 1.0 if is_arrival(work, load) else RESERVED_REPORTS
+            if self.allowance >= required and is_due(now, work, load):
                 self.allowance -= 1
                 work.reported = load
                 work.reported_at = now
                 due[name] = load
-        self.forget_idle()
+        self.remove_idle()
         return due
 
     def refill(self, now: float) -> None:
-        """Add to the allowance what the time since has earned."""
-        earned = (now - self.allowed_at) * RATE
-        self.allowance = min(BURST, self.allowance + earned)
-        self.allowed_at = now
+        """Refill the allowance for the time elapsed."""
+        earned = (now - self.refilled_at) * REPORTS_PER_S
+        self.allowance = min(BURST_REPORTS, self.allowance + earned)
+        self.refilled_at = now
 
-    def forget_idle(self) -> None:
-        """Drop upstreams with no work that everyone knows of."""
+    def remove_idle(self) -> None:
+        """Remove upstreams without work whose last report said so."""
         idle = [
             name
             for name, work in self.works.items()
@@ -140,26 +150,26 @@
 
 
 def is_arrival(work: Work, load: headroom.Load) -> bool:
-    """Return whether a first request waits, or twice as many as reported."""
+    """Return whether pending requests appeared or have at least doubled."""
     return load.pending >= max(1, 2 * work.reported.pending)
 
 
 def is_due(now: float, work: Work, load: headroom.Load) -> bool:
-    """Return whether a report differs enough, or is old enough."""
+    """Return whether a load has changed enough or its report is old enough."""
     reported = work.reported
     if is_arrival(work, load):
         return True
-    quiet = now - work.reported_at
+    elapsed_s = now - work.reported_at
     if load == reported:
-        return quiet >= REPEAT_S and load != headroom.Load()
-    if quiet < SETTLE_S:
+        return elapsed_s >= REPEAT_S and load != headroom.Load()
+    if elapsed_s < MIN_INTERVAL_S:
         return False
     if bool(load.in_flight) != bool(reported.in_flight):
         return True
     if bool(load.pending) != bool(reported.pending):
         return True
-    # While requests wait, each one more takes back more slots, until
-    # there are none left to take: a growth by a quarter is news.
+    # Each further pending request makes the coordinator revoke more slots, as
+    # long as there are any, so that growth by a quarter is reported.
     if load.pending > reported.pending * 1.25:
         return True
-    return quiet >= REPEAT_S / 4
+    return elapsed_s >= REPEAT_S / 4
--- a/tests/test_coordinator.py
+++ b/tests/test_coordinator.py
@@ -186,7 +186,7 @@
 
 
 class TestOnlineReports:
-    def test_the_first_arrival_is_told_at_once(self):
+    def test_the_first_arrival_is_reported_at_once(self):
         reports = online.OnlineReports()
         reports.begun(0.0, "u")
         assert reports.due(0.0) == {"u": headroom.Load(1, 1, 0.0)}
@@ -199,7 +199,7 @@
             due = reports.due(0.031)
             assert due.get("u", headroom.Load()).pending == pending
 
-    def test_work_goes_from_waiting_to_flowing_to_nothing(self):
+    def test_a_request_is_pending_then_streaming_then_removed(self):
         reports = online.OnlineReports()
         for at in (0.0, 0.5, 0.6):
             reports.begun(at, "u")
@@ -207,17 +207,18 @@
         assert reports.work("u").begun == [0.0, 0.6]
         reports.ended("u")
         assert reports.work("u").load(0.7).in_flight == 2
-        # Never streamed: it stops counting as waiting, not as there.
+        # Without a first token it stops counting as pending after a while, but
+        # remains in flight.
         assert reports.work("u").load(1.2).pending == 1
         reports.ended("u")
         reports.ended("u")
         reports.due(2.0)
         assert reports.works == {}
 
-    def test_a_busy_host_stays_within_its_allowance(self):
-        # 24 requests a second over 12 upstreams for a minute, as at the
-        # target: a report of about 60 bytes for each would be fine, one
-        # for every change of every request would not.
+    def test_a_busy_host_stays_within_its_report_rate(self):
+        # 24 requests a second over 12 upstreams for a minute, as at the target
+        # size. A report of about 60 bytes for each request is affordable, one
+        # for every change of every request is not.
         reports = online.OnlineReports()
         sent = 0
         for step in range(60 * 50):
@@ -227,4 +228,4 @@
             if step % 2 == 1 and step > 200:
                 reports.ended(f"u{(step - 1) % 12}")
             sent += len(reports.due(now))
-        assert sent <= online.BURST + online.RATE * 60
+        assert sent <= online.BURST_REPORTS + online.REPORTS_PER_S * 60
