--- a/tests/online.py
+++ b/tests/online.py
@@ -1,4 +1,4 @@
-"""Helpers of the tests of the online path."""
+"""Helpers for tests of the online path."""
 
 __all__ = ["ask", "body_of", "expected", "headers", "prompt", "text_of"]
 
@@ -13,17 +13,17 @@
 
 
 def headers(*more):
-    """Return the headers of a workspace's request."""
+    """Return the headers of a request by a workspace."""
     return (("authorization", f"Bearer {clusters.WORKSPACE_KEY}"), *more)
 
 
 def prompt(number=0, mark=""):
-    """Return one of many different questions."""
+    """Return a prompt that differs by number."""
     return f"why did battery {number} stop charging {mark}"
 
 
 def body_of(content, tokens=20, **fields):
-    """Return the body of a chat request."""
+    """Return the body of a chat completion request."""
     data = {
         "model": clusters.MODEL,
         "max_tokens": tokens,
@@ -34,14 +34,17 @@
 
 
 def expected(content, tokens=20):
-    """Return the whole answer that every engine gives."""
+    """Return the complete answer that every stand-in engine generates."""
     return "".join(
         standin_engine.token_text(content, index) for index in range(tokens)
     )
 
 
 def text_of(answer):
-    """Return the text of a whole or streamed answer."""
+    """Return the text of a complete or streamed answer.
+
+    Asserts that a stream has one usage event, one id and a single end.
+    """
     if answer.startswith(b"{"):
         return msgspec.json.decode(answer)["choices"][0]["message"]["content"]
     events = [
@@ -58,16 +61,16 @@
     return "".join(e["choices"][0]["delta"].get("content", "") for e in events)
 
 
-# For the caller of a test. Beside load the loop of a whole cluster, which
-# runs in this process, may stand for longer than a new connection may take.
-PATIENT = httpclient.Timeouts(connect_s=20.0)
+# Timeouts of a test's client. Under load the event loop, which runs a whole
+# cluster, may stall for longer than the usual timeout of a connection.
+CLIENT_TIMEOUTS = httpclient.Timeouts(connect_s=20.0)
 
 
 async def ask(host, content, *more, tokens=20, stream=True, client=None):
-    """Ask a host; return status, headers and body."""
-    own = client or httpclient.HttpClient(PATIENT)
+    """Send a chat request to a host; return status, headers and body."""
+    http_client = client or httpclient.HttpClient(CLIENT_TIMEOUTS)
     try:
-        return await own.call(
+        return await http_client.call(
             host.address,
             "POST",
             CHAT,
@@ -76,4 +79,4 @@
         )
     finally:
         if client is None:
-            await own.close()
+            await http_client.close()
