--- a/tests/test_loops.py
+++ b/tests/test_loops.py
@@ -1,9 +1,8 @@
-"""Loops of a host that go on for ever, whatever error meets them.
+"""Endless loops of a host restart after an unexpected error.
 
-What callers saw, with errors injected: a host whose loop that asks for slots
-had ended took jobs and ran none of their items, and nothing told. An error
-that no code expects ends the task in which it is raised; only work that is
-begun again by ``tasks.forever`` outlives it.
+Guards against a host that takes jobs but runs none of their items: an injected
+error had ended the task that requests slots, and nothing reported it. Only
+loops started by ``tasks.forever`` are restarted after an error.
 """
 
 import ast
@@ -18,11 +17,11 @@
 from tests import sources
 
 PACKAGE = pathlib.Path(__file__).parent.parent / "camphortray"
-# Loops whose end is acted upon by another way.
-OTHERWISE = {
-    # The owner of the partition gives up as its writer ends.
+# Endless loops that need no restart.
+EXEMPT = {
+    # The owner gives up the partition when its writer ends.
     ("partwriter", "run"),
-    # Ends with its link; the next question opens another.
+    # Ends with its link; the next request opens another one.
     ("peers", "run_oneway"),
     # Not part of a host.
     ("load", "keep_addresses"),
@@ -30,8 +29,8 @@
 }
 
 
-def begun_bare(module):
-    """Return methods given to ``create_task`` as they are."""
+def unwrapped_tasks(module):
+    """Return the methods passed to ``create_task`` without a wrapper."""
     return {
         node.args[0].func.attr
         for node in ast.walk(module)
@@ -44,8 +43,8 @@
     }
 
 
-def endless(module):
-    """Return methods that end in a loop without end."""
+def endless_methods(module):
+    """Return the methods that end in an endless loop."""
     return {
         node.name
         for node in ast.walk(module)
@@ -58,10 +57,10 @@
 @pytest.mark.parametrize(
     "path", sorted(PACKAGE.glob("*.py")), ids=lambda path: path.stem
 )
-def test_endless_work_is_begun_again_after_an_error(path):
+def test_endless_loops_are_restarted_after_an_error(path):
     module = sources.parse(path.read_text())
-    bare = begun_bare(module) & endless(module)
-    assert {(path.stem, name) for name in bare} <= OTHERWISE
+    unwrapped = unwrapped_tasks(module) & endless_methods(module)
+    assert {(path.stem, name) for name in unwrapped} <= EXEMPT
 
 
 @pytest.mark.parametrize(
@@ -74,24 +73,24 @@
         (config_gossip.Spread, "fetch"),
     ],
 )
-async def test_a_job_is_done_though_a_loop_meets_an_odd_error(
+async def test_a_job_completes_after_an_unexpected_error_in_a_loop(
     part, name, monkeypatch
 ):
-    # A step of the loop raises once what a library has let out.
+    # One step of the loop raises an error that a library has let through.
     jobcluster.hurry(monkeypatch)
-    step, met = getattr(part, name), []
+    step, raised = getattr(part, name), []
 
-    def odd(self, *args):
-        if not met:
-            met.append(name)
+    def fail_once(self, *args):
+        if not raised:
+            raised.append(name)
             raise AttributeError("'NoneType' object has no attribute 'write'")
         return step(self, *args)
 
     async with jobcluster.JobCluster() as cluster:
-        monkeypatch.setattr(part, name, odd)
+        monkeypatch.setattr(part, name, fail_once)
         _, job = await cluster.submit(
             "k", [jobcluster.item(f"q {n}") for n in range(8)]
         )
-        told = await cluster.ended(job["id"])
-        assert told["done"] == 8
-        assert met or part is config_gossip.Spread
+        status = await cluster.ended(job["id"])
+        assert status["done"] == 8
+        assert raised or part is config_gossip.Spread
