--- a/camphortray/online.py
+++ b/camphortray/online.py
@@ -34,9 +34,9 @@
     Attributes:
       begun: Start times of the requests without a first token yet.
       flowing: Number of requests with a first token.
-      strain: Mean of recent latencies relative to their objectives. A mean,
-        since objectives hold for a share of the tokens, so that one long step
-        does not breach them.
+      strain: Mean of recent latencies relative to their objectives. It is a
+        mean because an objective must hold only for a share, so that one long
+        step does not breach it.
       strained_at: When the last latency was measured.
       reported: Load that was last reported.
       reported_at: When it was reported.
