--- a/camphortray/coordinator.py
+++ b/camphortray/coordinator.py
@@ -104,7 +104,7 @@
         self.policy = policy
         self.holders: dict[str, Holder] = {}
         self.reports: dict[str, Report] = {}
-        # Grants of the previous coordinator may last until then. Meanwhile
+        # Grants of the previous coordinator may last until this time. Before,
         # hosts keep their slots but get no more, so that two coordinators
         # together never grant the upstream's slots twice.
         self.previous_grants_until = now + GRANT_S
--- a/camphortray/lease_reporting.py
+++ b/camphortray/lease_reporting.py
@@ -22,7 +22,7 @@
 
 LOG = logs.logger("slots")
 WireRequest = slot_messages.WireRequest
-# Seconds between reports.
+# Seconds between reports while anything is held or pending.
 REPORT_INTERVAL_S = 1.0
 # Timeout in seconds for a coordinator to acknowledge a report before it is
 # excluded. May be long, because no request waits for it.
@@ -76,9 +76,9 @@
             holder.coordinators.readmit(holder.clock.monotonic())
             holder.served.expire_holders()
             for service in list(holder.coordinators.known):
-                self.soon(service)
+                self.schedule(service)
 
-    def soon(self, service: str) -> None:
+    def schedule(self, service: str) -> None:
         """Schedule a report for a service."""
         self.holder.links.spawn(self.report(service))
 
--- a/camphortray/slot_client.py
+++ b/camphortray/slot_client.py
@@ -97,7 +97,7 @@
         self.published: dict[str, float] = {}
         self.served = slot_coordinator.SlotCoordinators(self)
         self.reports = lease_reporting.LeaseReporter(self)
-        self.coordinators.on_change = self.reports.soon
+        self.coordinators.on_change = self.reports.schedule
         self.pending: dict[str, lease_table.Pending] = {}
         self.held: dict[str, lease_table.HeldLease] = {}
         self.revoked_early: set[str] = set()
