--- a/tests/test_coordinator.py
+++ b/tests/test_coordinator.py
@@ -46,7 +46,7 @@
         (headroom.Load(8, 8), "throughput", 0),
     ],
 )
-def test_online_work_revokes_slots_at_once(load, priority, left):
+def test_online_work_takes_slots_back_at_once(load, priority, left):
     state = grown_coordinator(40, priority=priority)
     assert state.granted() == 32
     state.update_load(5.0, "c", load)
--- a/tests/test_slots.py
+++ b/tests/test_slots.py
@@ -79,7 +79,7 @@
 
 
 @pytest.mark.parametrize("entry", [0, 1, 2])
-async def test_online_work_at_one_host_revokes_slots_of_all_hosts(entry):
+async def test_batch_yields_on_any_host_to_any_host(entry):
     async with full_fleet() as (fleet, holders):
         # A burst of online requests arrives at one host while batch items of
         # all three fill the engine. The host reports it to the coordinator,
@@ -96,7 +96,7 @@
         assert sum(holders.running) == 32
 
 
-async def test_grants_expire_when_the_coordinator_is_lost():
+async def test_grants_end_when_the_coordinator_is_gone():
     async with full_fleet() as (fleet, holders):
         # With the coordinator cut off, nobody can revoke slots for online
         # work, so grants expire by themselves in about a second. The next
