--- a/bench/harm.py
+++ b/bench/harm.py
@@ -98,7 +98,9 @@
         for program in self.fleet.entries:
             if make is not None:
                 part = program.part(slot_granter.SlotGranter)
-                part.room_of = lambda _: make(fleets.MeasuredModel.slots)
+                part.headroom_policy = lambda _: make(
+                    fleets.MeasuredModel.slots
+                )
 
     async def run(self) -> Outcome:
         """Replay the trace."""
--- a/camphortray/slot_granter.py
+++ b/camphortray/slot_granter.py
@@ -134,11 +134,11 @@
         }
         for name in list(self.coordinators):
             if name in self.service_by_upstream:
-                self.coordinators[name].policy = self.room_of(name)
+                self.coordinators[name].policy = self.headroom_policy(name)
             else:
                 del self.coordinators[name]
 
-    def room_of(self, upstream: str) -> headroom.Headroom:
+    def headroom_policy(self, upstream: str) -> headroom.Headroom:
         """Return the headroom policy set by an upstream's service."""
         service = self.service_by_upstream[upstream]
         return headroom.headroom_for(
@@ -254,7 +254,7 @@
             if upstream not in self.service_by_upstream:
                 return None
             self.coordinators[upstream] = coordinator.Coordinator(
-                self.room_of(upstream), self.clock.monotonic()
+                self.headroom_policy(upstream), self.clock.monotonic()
             )
         return self.coordinators[upstream]
 
