--- a/camphortray/slot_client.py
+++ b/camphortray/slot_client.py
@@ -191,7 +191,9 @@
             seconds = coordinator_election.UNKNOWN_S
         self.coordinators.exclude(fact.key, now, seconds)
 
-    async def runs_at(self, entry: engine_registry.EngineEntry) -> int:
+    async def count_engine_requests(
+        self, entry: engine_registry.EngineEntry
+    ) -> int:
         upstream = self.upstream(entry)
         backend = self.context.part(backends.LedgerBackends).engine(
             upstream.plugin
--- a/camphortray/slot_coordinator.py
+++ b/camphortray/slot_coordinator.py
@@ -58,7 +58,9 @@
         """Find out whether the host that should coordinate is silent."""
 
     @abc.abstractmethod
-    async def runs_at(self, entry: engine_registry.EngineEntry) -> int:
+    async def count_engine_requests(
+        self, entry: engine_registry.EngineEntry
+    ) -> int:
         """Return how many requests an engine runs or has queued.
 
         Raises:
@@ -230,7 +232,7 @@
     ) -> None:
         """Take one engine's report of what it runs."""
         try:
-            running = await self.home.runs_at(entry)
+            running = await self.home.count_engine_requests(entry)
         except errors.UpstreamError as error:
             LOG.info("No report of {}: {}", entry.name, error)
             return
