--- a/camphortray/slot_client.py
+++ b/camphortray/slot_client.py
@@ -134,7 +134,7 @@
         now = self.clock.monotonic()
         return self.coordinators.share_of(service, holders, now)
 
-    def check_natural(self, service: str) -> None:
+    def check_preferred_coordinator(self, service: str) -> None:
         """Check whether the preferred coordinator responds.
 
         Called when another host, which could not reach that coordinator,
--- a/camphortray/slot_coordinator.py
+++ b/camphortray/slot_coordinator.py
@@ -54,7 +54,7 @@
         """Return the share of the slots that this host gives out."""
 
     @abc.abstractmethod
-    def check_natural(self, service: str) -> None:
+    def check_preferred_coordinator(self, service: str) -> None:
         """Find out whether the host that should coordinate is silent."""
 
     @abc.abstractmethod
@@ -347,7 +347,7 @@
         holder = str(sender)
         coordinator.note_holder(holder, ask.address, now)
         if not coordinator.full:
-            self.home.check_natural(ask.service)
+            self.home.check_preferred_coordinator(ask.service)
             coordinator.book.set_share(self.home.share_of(ask.service))
         decisions: list[slot_scheduler.Decision] = []
         for text in ask.wants:
