--- a/camphortray/lease_reporting.py
+++ b/camphortray/lease_reporting.py
@@ -91,10 +91,10 @@
         name = holder.coordinators.coordinator(service, now)
         self.fail_over(name, held, waiting)
         leases = [
-            slot_queue.Lease(p.want, p.upstream.name, p.granted_at)
+            slot_queue.Lease(p.request, p.upstream.name, p.granted_at)
             for p in held
         ]
-        wants = [p.want for p in waiting if not p.answer.done()]
+        wants = [p.request for p in waiting if not p.answer.done()]
         if name == holder.own_name:
             coordinator = holder.served.coordinator(service)
             coordinator.act(
@@ -117,7 +117,7 @@
     ) -> None:
         """Move requests and leases to the current coordinator."""
         for pending in waiting:
-            if pending.want.online and pending.coordinator != name:
+            if pending.request.online and pending.coordinator != name:
                 # The request is queued at the previous coordinator.
                 self.holder.links.spawn(self.holder.ask(pending))
             pending.fail_over(name)
--- a/camphortray/lease_table.py
+++ b/camphortray/lease_table.py
@@ -57,14 +57,14 @@
     """Lease of a slot in use.
 
     Attributes:
-      want: Slot request that it was granted for.
+      request: Slot request that it was granted for.
       service: Service of the engine.
       upstream: Engine on which the slot is.
       granted_at: Time of the grant on the monotonic clock.
       on_revoke: Called when the slot is revoked; set for batch items only.
     """
 
-    want: slot_queue.SlotRequest
+    request: slot_queue.SlotRequest
     service: str
     upstream: engine.Upstream
     granted_at: float
@@ -76,12 +76,12 @@
     """Slot request that waits for its answer.
 
     Attributes:
-      want: Slot request.
+      request: Slot request.
       service: Service whose slots are requested.
       answer: Names of the engine and of the granting coordinator.
     """
 
-    want: slot_queue.SlotRequest
+    request: slot_queue.SlotRequest
     service: str
     answer: "asyncio.Future[tuple[str, str]]"
 
--- a/camphortray/slot_client.py
+++ b/camphortray/slot_client.py
@@ -351,22 +351,22 @@
             message = SlotAsk(
                 pending.service,
                 str(self.links.address),
-                (WireRequest.of(pending.want, now),),
+                (WireRequest.of(pending.request, now),),
             )
             reply = await self.links.ask(address, message, ASK_TIMEOUT_S)
         except errors.MessageError as error:
             LOG.info(
                 "Slot request {} not answered by coordinator {}: {}",
-                pending.want.id,
+                pending.request.id,
                 name,
                 error,
             )
             # The coordinator may still grant the slot. Without this message
             # the slot would stay taken until the holder expires seconds
             # later, while other requests are refused.
-            self.send_end(name, pending.service, pending.want.id)
+            self.send_end(name, pending.service, pending.request.id)
             self.exclude(name)
-            if pending.want.online and not pending.answer.done():
+            if pending.request.online and not pending.answer.done():
                 pending.fail_over(self.own_name)
                 self.ask_own_coordinator(pending)
             return
@@ -378,7 +378,7 @@
         coordinator = self.served.coordinator(pending.service)
         coordinator.book.set_share(self.share_of(pending.service))
         now = self.clock.monotonic()
-        coordinator.act(coordinator.book.ask(pending.want, now))
+        coordinator.act(coordinator.book.ask(pending.request, now))
 
     def on_decisions(self, update: SlotDecisions, coordinator: str) -> None:
         """Apply the decisions of a coordinator."""
@@ -421,9 +421,9 @@
         self, held: lease_table.HeldLease, outcome: enginehealth.Outcome
     ) -> None:
         """Release a slot and report the outcome at its engine."""
-        if self.held.pop(held.want.id, None) is not None:
+        if self.held.pop(held.request.id, None) is not None:
             self.send_ends(
-                held.coordinators, held.service, held.want.id, outcome
+                held.coordinators, held.service, held.request.id, outcome
             )
 
     def send_ends(
--- a/tests/itemrig.py
+++ b/tests/itemrig.py
@@ -90,7 +90,7 @@
 
     def release(self, held, outcome):
         super().release(held, outcome)
-        item = "-".join(held.want.id.split(".")[:2])
+        item = "-".join(held.request.id.split(".")[:2])
         self.broken.now("release", item)
 
 
--- a/tests/test_slot_client.py
+++ b/tests/test_slot_client.py
@@ -144,7 +144,7 @@
         asked = []
 
         async def ask(pending):
-            asked.append(pending.want.id)
+            asked.append(pending.request.id)
 
         monkeypatch.setattr(part, "ask", ask)
         want = slot_scheduler.SlotRequest("i", part.own_name, False)
@@ -160,7 +160,7 @@
         second_grant = slot_messages.SlotDecisions(SERVICE, {asked[1]: "i-0"})
         part.on_decisions(second_grant, part.own_name)
         held = await task
-        assert held.want.id == asked[1] != "i"
+        assert held.request.id == asked[1] != "i"
 
 
 @pytest.mark.parametrize("asker", [2, 3])
