--- a/tests/test_online_decisions.py
+++ b/tests/test_online_decisions.py
@@ -202,7 +202,7 @@
     assert book.total("e", 100.0) == 12
     book.load("e").own += 3
     assert book.total("e", 100.0) == 15
-    assert book.total("e", 100.0 + routing.HALF_LIFE_S) == 9
+    assert book.total("e", 100.0 + routing.REPORT_HALF_LIFE_S) == 9
     book.report("e", engine.LoadReport(8, 4, 0.5, age_s=4.0), 104.0)
     assert book.total("e", 104.0) == pytest.approx(3 + 9 / 2)
 
@@ -221,7 +221,7 @@
     ]
     slow, quick, new = waits[0]
     assert quick < new < slow or slow == pytest.approx(new, rel=0.2)
-    assert waits[1] == [pytest.approx(book.mean_s, rel=0.01)] * 3
+    assert waits[1] == [pytest.approx(book.mean_ttft_s, rel=0.01)] * 3
 
 
 def chosen(waits, zones=None, zone="", key=None, rounds=400):
