--- a/camphortray/admission.py
+++ b/camphortray/admission.py
@@ -1,4 +1,4 @@
-"""Lets online requests in, in a fair order, while there is room."""
+"""Admission control: bounds online requests and queues them fairly."""
 
 __all__ = ["Admission", "Ticket"]
 
@@ -16,23 +16,23 @@
 from camphortray import signals
 from camphortray import tasks
 
-# Seconds from one search of the queues for late requests to the next.
-SWEEP_S = 0.1
-# Share of the mean time of an answer below which no answer is expected: a
-# request with less time left than that is refused at once.
-LEAST_SHARE = 0.5
+# Time between two searches of the queues for requests that would be late.
+SWEEP_INTERVAL_S = 0.1
+# A request is refused at once if less than this share of the mean service
+# time is left until its deadline.
+MIN_SERVICE_SHARE = 0.5
 
 Waiting = fairness.Waiting[asyncio.Future[None]]
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Ticket:
-    """Leave to send one request on; given back when it ends.
+    """Permit to forward one request; returned when the request ends.
 
     Attributes:
       service: Name of the service.
-      workspace: Who asks.
-      entered_at: When it was let in, on the monotonic clock.
+      workspace: Workspace of the caller.
+      entered_at: Monotonic time of admission.
     """
 
     service: str
@@ -42,11 +42,13 @@
 
 @dataclasses.dataclass(slots=True)
 class Gate:
-    """State of one service on this host.
+    """Admission state of one service on this host.
 
     Attributes:
-      service: As the newest settings have it.
-      inside: Requests let in.
+      service: The service in the newest settings.
+      queue: Requests that wait for admission.
+      window: Concurrency limit.
+      inside: Number of admitted requests that have not ended.
     """
 
     service: settings.Service
@@ -57,10 +59,10 @@
 
 @kernel.PARTS.register("entry")
 class Admission(kernel.Part, signals.Listener):
-    """Bounds the requests of each service on this host.
+    """Bounds the concurrent requests of each service on this host.
 
-    A refusal is given at once, as soon as it is certain; the caller is
-    told when to come back.
+    A request is refused as soon as it is known that it cannot be served in
+    time; the refusal tells the caller when to retry.
 
     Attributes:
       gates: By name of service.
@@ -88,7 +90,7 @@
         return cls(context)
 
     def gate(self, service: settings.Service) -> Gate:
-        """Return the gate of a service, fitted to its settings."""
+        """Return the gate of a service, updated to its settings."""
         gate = self.gates.get(service.name)
         if gate is None:
             gate = self.gates[service.name] = Gate(
@@ -103,15 +105,16 @@
     async def enter(
         self, service: settings.Service, workspace: str, deadline_at: float
     ) -> Ticket:
-        """Wait for leave to send a request on.
+        """Wait until a request is admitted.
 
         Args:
-          service: Which service.
-          workspace: Who asks.
-          deadline_at: When its answer is due, on the monotonic clock.
+          service: The service called.
+          workspace: Workspace of the caller.
+          deadline_at: Monotonic time by which the answer is due.
 
         Raises:
-          Refused: there is no room, or it could not be done in time.
+          Refused: the rate limit is exceeded, the queue is full or the
+            deadline cannot be met.
         """
         self.limits.check(service, workspace)
         gate = self.gate(service)
@@ -127,35 +130,37 @@
     async def wait(
         self, gate: Gate, workspace: str, deadline_at: float
     ) -> None:
-        """Wait in the queue; the one who lets in has counted it."""
+        """Wait in the queue; ``admit_waiting`` counts the request."""
         weight = gate.service.workspace(workspace).weight
         wait_s = gate.window.wait_s(gate.queue.ahead(workspace, weight))
         now = self.clock.monotonic()
-        if self.is_late(gate, now + wait_s, deadline_at):
+        if self.would_miss_deadline(gate, now + wait_s, deadline_at):
             raise self.too_late(gate, wait_s)
-        leave = asyncio.get_running_loop().create_future()
-        waiting: Waiting = fairness.Waiting(workspace, leave, deadline_at)
-        pushed = gate.queue.put(waiting, weight)
-        if pushed is not None:
-            self.refuse(pushed, self.busy(gate, wait_s))
-        self.sweep_later()
+        admitted = asyncio.get_running_loop().create_future()
+        waiting: Waiting = fairness.Waiting(workspace, admitted, deadline_at)
+        dropped = gate.queue.put(waiting, weight)
+        if dropped is not None:
+            self.refuse(dropped, self.busy(gate, wait_s))
+        self.start_sweep()
         try:
-            await leave
+            await admitted
         except asyncio.CancelledError:
-            # The caller has gone; its place may have come in the same
-            # step of the loop, and nobody else would give it back.
+            # The caller has gone. It may have been admitted in the same
+            # iteration of the event loop; its place is then released here.
             gate.queue.remove(waiting)
-            if leave.done() and not leave.cancelled():
-                if leave.exception() is None:
-                    self.let_out(gate)
+            if admitted.done() and not admitted.cancelled():
+                if admitted.exception() is None:
+                    self.release(gate)
             raise
 
-    def is_late(self, gate: Gate, start: float, deadline_at: float) -> bool:
-        """Return whether an answer begun at ``start`` would be too late."""
-        return start + gate.window.held_s * LEAST_SHARE > deadline_at
+    def would_miss_deadline(
+        self, gate: Gate, start_at: float, deadline_at: float
+    ) -> bool:
+        """Return whether a request started then would end too late."""
+        return start_at + gate.window.held_s * MIN_SERVICE_SHARE > deadline_at
 
     def refuse(self, waiting: Waiting, refusal: errors.Refused) -> None:
-        """Refuse a request that waits."""
+        """Refuse a queued request."""
         if not waiting.item.done():
             waiting.item.set_exception(refusal)
 
@@ -164,42 +169,42 @@
         return errors.Refused(
             429,
             "busy",
-            "too many requests wait",
-            retry_after=self.return_in(wait_s),
+            "queue of the service is full",
+            retry_after=self.retry_after_s(wait_s),
         )
 
     def too_late(self, gate: Gate, wait_s: float) -> errors.Refused:
-        """Return the refusal for what cannot be done in time."""
+        """Return the refusal for a request that would miss its deadline."""
         return errors.Refused(
             503,
             "too_late",
-            "cannot be done before its deadline",
-            retry_after=self.return_in(wait_s),
+            "request cannot be completed before its deadline",
+            retry_after=self.retry_after_s(wait_s),
         )
 
-    def return_in(self, wait_s: float) -> float:
-        """Return when to come back, spread so that returns do not meet."""
+    def retry_after_s(self, wait_s: float) -> float:
+        """Return the seconds until a retry, jittered to spread retries."""
         return max(1.0, wait_s) * (1 + 2 * self.context.rng.random())
 
     def leave(self, ticket: Ticket) -> None:
-        """Give a ticket back."""
+        """Return the ticket of a request that has ended."""
         gate = self.gates[ticket.service]
         gate.window.left(self.clock.monotonic() - ticket.entered_at)
-        self.let_out(gate)
+        self.release(gate)
 
-    def let_out(self, gate: Gate) -> None:
-        """Count one out and let the next in."""
+    def release(self, gate: Gate) -> None:
+        """Release one place and admit the next request."""
         gate.inside -= 1
-        self.let_in(gate)
+        self.admit_waiting(gate)
 
-    def let_in(self, gate: Gate) -> None:
-        """Let in whoever's turn it is, while there is room."""
+    def admit_waiting(self, gate: Gate) -> None:
+        """Admit waiting requests in turn while the window has room."""
         now = self.clock.monotonic()
         while gate.window.room(gate.inside):
             waiting = gate.queue.pop()
             if waiting is None:
                 return
-            if self.is_late(gate, now, waiting.deadline_at):
+            if self.would_miss_deadline(gate, now, waiting.deadline_at):
                 self.refuse(waiting, self.too_late(gate, 0.0))
             elif not waiting.item.done():
                 gate.inside += 1
@@ -213,27 +218,29 @@
             return
         objective = gate.service.get("objective.ttft_s")
         gate.window.first_token(self.clock.monotonic(), seconds, objective)
-        self.let_in(gate)
+        self.admit_waiting(gate)
 
-    def sweep_later(self) -> None:
-        """Search the queues for late requests from now on."""
+    def start_sweep(self) -> None:
+        """Start the sweep of the queues unless it is running."""
         if self.sweeper is None or self.sweeper.done():
             self.sweeper = asyncio.get_running_loop().create_task(
                 tasks.forever("refusal of late requests", self.sweep)
             )
 
     async def sweep(self) -> None:
-        """Refuse what has become late, while anything waits."""
+        """Refuse requests that have become late until nothing waits."""
         while any(gate.queue.size for gate in self.gates.values()):
-            await asyncio.sleep(SWEEP_S)
+            await asyncio.sleep(SWEEP_INTERVAL_S)
             now = self.clock.monotonic()
             for gate in self.gates.values():
-                self.shed(gate, now)
+                self.refuse_late(gate, now)
 
-    def shed(self, gate: Gate, now: float) -> None:
-        """Refuse requests for which it is too late by now."""
+    def refuse_late(self, gate: Gate, now: float) -> None:
+        """Refuse queued requests that would miss their deadline by now."""
         for waiting in gate.queue.drop_if(
-            lambda held: self.is_late(gate, now, held.deadline_at)
+            lambda queued: self.would_miss_deadline(
+                gate, now, queued.deadline_at
+            )
         ):
             self.refuse(waiting, self.too_late(gate, 0.0))
 
