--- a/camphortray/routedtry.py
+++ b/camphortray/routedtry.py
@@ -1,4 +1,4 @@
-"""A try at an engine that routing has chosen, and what is learned of it."""
+"""One attempt of a request at a routed engine, and its bookkeeping."""
 
 __all__ = ["CLEAR_CHUNKS", "RoutedParts", "RoutedTry"]
 
@@ -20,14 +20,14 @@
 from camphortray import upstreams
 
 LOG = logs.logger("relay")
-# Pieces of an answer after which a request has got past the place where
-# it was when its upstream crashed.
+# Chunks of an answer after which a suspect request is cleared: it is then
+# past the position at which its earlier attempt crashed an upstream.
 CLEAR_CHUNKS = 8
 
 
 @dataclasses.dataclass(frozen=True)
 class RoutedParts:
-    """The parts of the program that such tries are made with."""
+    """The parts of the program that each routed attempt uses."""
 
     clock: clocks.Clock
     backends: backends.Backends
@@ -39,15 +39,18 @@
 
 
 class RoutedTry(proxy_exchange.Try):
-    """One try, counted at its engine from its making to its end.
+    """One attempt, counted at its engine from its creation to its end.
 
     Attributes:
-      id: Of its own for each try, or the late cancel of one try would end
-        the next at the same engine.
+      id: Unique for each attempt; otherwise a late cancel of one attempt
+        would end the next one at the same engine.
+      fingerprint: Returns the fingerprint of the request.
       suspected: Whether the request may have crashed an engine.
-      permit: Whether it holds leave to run apart from other suspects.
-      begun_at: When it was sent, on the monotonic clock.
-      load: Requests expected at its upstream then, itself included.
+      permit: Whether it holds a permit to run isolated from other suspects.
+      begun_at: Monotonic time at which it was sent.
+      last_at: Monotonic time of the last chunk.
+      load: Estimated requests at its upstream then, including itself.
+      chunks: Chunks received.
     """
 
     def __init__(
@@ -68,14 +71,14 @@
         loads = parts.upstreams.loads
         self.begun_at = self.last_at = parts.clock.monotonic()
         self.load = 1 + loads.total(upstream.name, self.begun_at)
-        self.pieces = 0
+        self.chunks = 0
         self.flight = parts.suspects.begin(upstream, fingerprint)
         parts.signals.begun(service.name, upstream.name, False)
         loads.load(upstream.name).own += 1
 
     def first(self) -> None:
-        # Counted from the send: an engine may hold back the head of its
-        # answer until the first token, or send it at once.
+        # Measured from the send, not from the response header: some engines
+        # send the header at once, others only with the first token.
         now = self.parts.clock.monotonic()
         name, waited_s = self.upstream.name, now - self.begun_at
         self.parts.upstreams.loads.learn(name, waited_s, self.load, now)
@@ -83,7 +86,7 @@
             self.service.name, name, False, waited_s
         )
         self.last_at = now
-        self.pieces = 1
+        self.chunks = 1
 
     def more(self) -> None:
         now = self.parts.clock.monotonic()
@@ -91,81 +94,83 @@
             self.service.name, self.upstream.name, False, now - self.last_at
         )
         self.last_at = now
-        self.pieces += 1
-        if self.pieces == CLEAR_CHUNKS and self.suspected:
+        self.chunks += 1
+        if self.chunks == CLEAR_CHUNKS and self.suspected:
             self.clear()
-            # No suspect any more, so the next need not wait for its end.
-            self.give_back()
+            # No longer a suspect, so the next one need not wait for its end.
+            self.release_permit()
 
     async def ended(self, error: BaseException | None) -> None:
         parts, name = self.parts, self.upstream.name
         parts.upstreams.loads.load(name).own -= 1
-        good, gone = error is None, False
+        succeeded, finished = error is None, False
         try:
             if isinstance(error, errors.UpstreamError):
-                gone = await self.on_failure(error)
+                finished = await self.on_failure(error)
         finally:
             parts.suspects.end(self.flight)
-            parts.signals.ended(self.service.name, name, False, good)
-            if not good and not gone:
+            parts.signals.ended(self.service.name, name, False, succeeded)
+            if not succeeded and not finished:
                 parts.upstreams.spawn(self.cancel())
-            self.give_back()
-        if good:
+            self.release_permit()
+        if succeeded:
             parts.upstreams.outliers.succeeded(name)
             budget = parts.upstreams.budget(self.service)
             budget.succeeded(parts.clock.monotonic())
             self.clear()
 
     async def on_failure(self, error: errors.UpstreamError) -> bool:
-        """Find out what a failure means; return if the engine is done.
+        """Record a failure with the upstream's health checks.
 
-        It need not be told to cancel what it refused or crashed at.
+        Returns:
+          Whether the engine no longer runs the request, because it refused
+          it, crashed or was not reached; no cancel is then needed.
         """
-        held = self.parts.upstreams
+        pool = self.parts.upstreams
         if isinstance(error, errors.UpstreamFault):
             return False
         if isinstance(error, errors.UpstreamRefused):
             if error.status not in engine.FINAL and not error.leaving:
-                held.failed(self.upstream)
+                pool.failed(self.upstream)
             return True
-        held.failed(self.upstream)
+        pool.failed(self.upstream)
         if isinstance(error, errors.UpstreamTimeout):
-            held.spawn(self.look_at())
+            pool.spawn(self.check_reachable())
             return not error.ran
         if not error.ran:
-            # It could not be reached; unless it is held down at once, it
-            # looks idle and gets every further try too.
-            await held.probe(self.upstream)
+            # It could not be reached. Unless it is marked down at once, it
+            # looks idle and attracts every further attempt.
+            await pool.probe(self.upstream)
             return True
         return await self.parts.suspects.broke(self.flight)
 
-    async def look_at(self) -> None:
-        """Try a new connection, so that a dead upstream is held down."""
+    async def check_reachable(self) -> None:
+        """Probe the upstream, which marks it as down if it is unreachable."""
         await self.parts.upstreams.probe(self.upstream)
 
     async def cancel(self) -> None:
         """Cancel the request at the engine.
 
-        Closing its connection says the same, but is not heard where the
-        connection has gone silent.
+        Closing the connection cancels it too, but the engine does not notice
+        that when the network drops packets.
         """
         try:
             await self.party.cancel(self.upstream, self.id)
         except errors.CamphortrayError as error:
-            LOG.debug("Could not cancel: {}", error)
+            LOG.debug("Could not cancel the request at its engine: {}", error)
 
     def clear(self) -> None:
-        """Take the suspicion off a request that went well."""
+        """Clear the request of the suspicion that it crashes engines."""
         self.suspected = False
-        held = self.parts.suspects
-        if held.quiet:
+        known = self.parts.suspects
+        if known.quiet:
             return
-        told = held.verdict(self.service, self.fingerprint())
-        if told.standing is poison.Standing.APART:
-            held.passed(self.fingerprint())
+        verdict = known.verdict(self.service, self.fingerprint())
+        if verdict.standing is poison.Standing.APART:
+            known.passed(self.fingerprint())
 
-    def give_back(self) -> None:
-        """Let the next suspect run where this request held a permit."""
+    def release_permit(self) -> None:
+        """Release the permit, so that the next suspect can run there."""
         if self.permit:
             self.permit = False
             self.parts.suspects.release(self.upstream.name, self.id)
