--- a/camphortray/routemap.py
+++ b/camphortray/routemap.py
@@ -1,4 +1,4 @@
-"""Routes of an operator's versioned configuration, and how one is found."""
+"""The operator's versioned configuration, and the lookup of its routes."""
 
 __all__ = [
     "CallerLimits",
@@ -20,7 +20,7 @@
 
 
 class Kind(enum.Enum):
-    """What may be repeated of a request."""
+    """How requests of a route are run, and which of them may be repeated."""
 
     IDEMPOTENT = "idempotent"
     NON_IDEMPOTENT = "non-idempotent"
@@ -30,7 +30,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Target:
-    """A service that a route leads to, with its share."""
+    """A service that receives a weighted share of a route's requests."""
 
     service: str
     weight: float = 1.0
@@ -41,23 +41,24 @@
     """Where requests of one host name and path prefix go.
 
     Attributes:
-      name: Unique in its configuration.
-      host_name: Of the callers' ``Host`` header.
-      prefix: Begins the path; the longest one that fits decides.
-      kind: What may be repeated.
-      targets: Services, with shares.
-      resumable: Whether a broken stream may go on at another engine.
-      timeout_s: Longest time a caller is kept waiting, in seconds.
-      objective_s: Time to the first event, or to the answer, in seconds.
-      priority: Rank, 0 first.
-      max_attempts: Engines to which one request may be sent.
-      due_s: Time in which a batch job should be done, in seconds.
-      keep_s: Time after which an item may be given up, in seconds.
-      waiting_limit: Tokens that may wait on the route over all hosts; 0
-        for no limit.
-      gap_s: Longest pause between events of an answer that is in time, in
-        seconds; 0 if not told.
-      anonymous: Whether its callers need no key.
+      name: Unique within the configuration.
+      host_name: Value of the ``Host`` header.
+      prefix: Path prefix; of several that match, the longest is used.
+      kind: Which requests may be repeated.
+      targets: Services with their weights.
+      resumable: Whether a broken stream may continue at another engine.
+      timeout_s: Time limit of a request.
+      objective_s: Objective for the time to the first event, or to the answer
+        if it is not a stream.
+      priority: Rank; 0 is the highest priority.
+      max_attempts: Number of engines to which one request may be sent.
+      due_s: Time in which a batch job should be completed.
+      keep_s: Time after which an item may be abandoned.
+      waiting_limit: Limit on the tokens of waiting requests over all hosts;
+        0 for none.
+      gap_s: Objective for the longest pause between two events of an answer;
+        0 if not configured.
+      anonymous: Whether callers need no API key.
     """
 
     name: str
@@ -84,7 +85,7 @@
         return self.kind is not Kind.NON_IDEMPOTENT
 
     def service_of(self, request_id: str) -> str:
-        """Return the service for a request, alike on all hosts.
+        """Return the service for a request; it is the same on all hosts.
 
         >>> Route("r", "h", "/", Kind.STREAM, (Target("s"),)).service_of("1")
         's'
@@ -100,13 +101,14 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class EngineService:
-    """A service of engines, as far as it matters here.
+    """Configuration of a service that engines run.
 
     Attributes:
-      name: Its name.
-      slots: Requests an engine runs at once, unless its entry tells.
-      connection_limit: Connections one engine takes from all hosts.
-      cache_tokens: Tokens that an engine's memory holds.
+      name: Unique within the configuration.
+      slots: Concurrent requests of an engine whose registry entry does not
+        give a number.
+      connection_limit: Connections that one engine accepts from all hosts.
+      cache_tokens: Capacity of an engine's KV cache in tokens.
     """
 
     name: str
@@ -117,13 +119,14 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Workspace:
-    """Who may call.
+    """A group of callers that share API keys.
 
     Attributes:
-      name: Unique in its configuration.
-      key_hashes: Of its keys, as ``keyring.hash_key`` returns them.
-      priority: Rank of its online requests, before that of their route;
-        None for that of the route.
+      name: Unique within the configuration.
+      key_hashes: Hashes of its API keys, as ``keyring.hash_key`` returns
+        them.
+      priority: Rank of its online requests, which overrides that of the
+        route; None to use that of the route.
     """
 
     name: str
@@ -133,7 +136,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class CallerLimits:
-    """Bounds on what callers send; sizes in bytes, times in seconds."""
+    """Limits on the size and duration of callers' HTTP requests."""
 
     head_bytes: int = 32_768
     body_bytes: int = 16_777_216
@@ -143,14 +146,14 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Configuration:
-    """One version of what the operator declares.
+    """One version of the operator's configuration.
 
     Attributes:
-      revision: Version, 0 before the first.
+      revision: Version number; 0 before the first is loaded.
       routes: All routes.
       services: By name.
       limits: For callers' connections.
-      workspaces: Who may call; None where callers need no key.
+      workspaces: Those that may call; None if callers need no API key.
     """
 
     revision: int
@@ -163,7 +166,7 @@
 
     @property
     def service_names(self) -> frozenset[str]:
-        """Names of all services, also of those that only routes name."""
+        """Names of all services, including those that only routes mention."""
         routed = {
             target.service for route in self.routes for target in route.targets
         }
@@ -180,15 +183,15 @@
         self.by_host: dict[str, list[Route]] = {}
         for route in routes:
             self.by_host.setdefault(route.host_name, []).append(route)
-        for held in self.by_host.values():
-            held.sort(key=lambda route: -len(route.prefix))
+        for found in self.by_host.values():
+            found.sort(key=lambda route: -len(route.prefix))
 
     def of_host(self, host_name: str) -> tuple[Route, ...]:
         """Return the routes of a host name."""
         return tuple(self.by_host.get(host_name, ()))
 
     def find(self, host_name: str, path: str) -> Route | None:
-        """Return the route with the longest prefix that begins a path."""
+        """Return the route with the longest prefix of a path, if any."""
         for route in self.by_host.get(host_name, ()):
             if path.startswith(route.prefix):
                 return route
