--- a/camphortray/limits.py
+++ b/camphortray/limits.py
@@ -1,34 +1,35 @@
-"""Rate limits of workspaces, shared by hosts in proportion to demand.
+"""Distributed rate limits of workspaces: token buckets with shared rates.
 
-A host that knows no share yet uses a small one. It reports to the host that
-divides a workspace's limit what demand it sees, and is given a rate for a
-time: a long one while demand is far below the limit, so that nearly all
-workspaces cost nearly nothing.
+Each host reports the demand it sees for a workspace to the host that
+allocates the workspace's limit, and gets a rate that is valid for some time.
+The time is long while demand is far below the limit, so that most workspaces
+cause few messages. A host without a share yet uses a small one.
 """
 
-__all__ = ["Divider", "LocalLimits", "Share"]
+__all__ = ["LocalLimits", "Share", "ShareAllocator"]
 
 import dataclasses
 import math
 
-# Share of a limit that hosts unknown to the divider use, all together.
+# Share of a limit that all hosts without a share may use together.
 UNKNOWN_SHARE = 0.1
-# Seconds over which demand is averaged.
-DEMAND_S = 5.0
-# Demand below this, in requests per second, is forgotten.
-NO_DEMAND = 0.01
-# Share of a limit that a host lets through, or has as demand, before it
-# reports. Most workspaces ask a host now and then and so cost no message.
+# Time constant of the moving average of demand.
+DEMAND_WINDOW_S = 5.0
+# The state of a workspace with less demand, in requests per second, is
+# dropped.
+MIN_DEMAND = 0.01
+# Burst, and demand, as a share of the limit up to which a host does not
+# report. Most workspaces call a host rarely and so cause no message.
 FREE_SHARE = 0.1
-# Growth of demand over the last report that is reported at once, and the least
-# seconds between two reports for one workspace.
-NEWS = 1.5
-REPORT_EVERY_S = 1.0
-# Seconds a share holds when the limit is far, and when it is near.
-FAR_S = 20.0
-NEAR_S = 4.0
-# Demand up to this share of the limit is far from it.
-FAR = 0.5
+# Demand is reported early if it exceeds the last report by this factor, but
+# not before this time since that report.
+REPORT_GROWTH = 1.5
+MIN_REPORT_INTERVAL_S = 1.0
+# Validity of a share at low demand and at higher demand.
+LOW_DEMAND_SHARE_S = 20.0
+HIGH_DEMAND_SHARE_S = 4.0
+# Total demand up to this share of the limit counts as low.
+LOW_DEMAND = 0.5
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
@@ -37,7 +38,7 @@
 
     Attributes:
       rate: Requests per second.
-      seconds: How long it holds.
+      seconds: How long it is valid.
     """
 
     rate: float
@@ -45,14 +46,18 @@
 
 
 @dataclasses.dataclass(slots=True)
-class Local:
-    """A limited workspace as one host sees it.
+class LimitState:
+    """Token bucket and demand of one rate-limited workspace on one host.
 
     Attributes:
+      at: Time of the last update.
       limit: Requests per second over all hosts.
-      demand: Requests per second asked for, refused ones included.
-      tokens: Requests that may go at once.
-      share: What the divider gave.
+      tokens: Tokens in the bucket; a request takes one.
+      demand: Requests per second received, including refused ones.
+      share: The last share allocated to this host.
+      share_until: Time at which that share expires.
+      reported: Demand last reported to the allocator.
+      reported_at: Time of that report.
     """
 
     at: float
@@ -66,112 +71,127 @@
 
 
 class LocalLimits:
-    """Limits as one host keeps them."""
+    """The rate limits that one host enforces."""
 
     def __init__(self) -> None:
-        self.locals: dict[str, Local] = {}
+        self.states: dict[str, LimitState] = {}
 
     def take(self, now: float, key: str, limit: float, hosts: int) -> float:
-        """Ask for one request; return 0 if it may go, else a wait.
+        """Take a token for one request.
 
         Args:
-          now: Monotonic seconds.
+          now: Monotonic time.
           key: Service and workspace.
           limit: Requests per second over all hosts.
-          hosts: Hosts that take requests.
+          hosts: Number of hosts that accept requests.
+
+        Returns:
+          0 if there was a token, else the seconds until there is one.
         """
         free = max(1.0, FREE_SHARE * limit)
-        local = self.locals.setdefault(key, Local(now, limit, free))
-        local.limit = limit
-        passed = now - local.at
-        local.at = now
-        rate = self.rate(now, local, limit, hosts)
-        # A little may always be saved up, however small the share.
-        local.tokens = min(max(free, rate), local.tokens + passed * rate)
-        local.demand *= math.exp(-passed / DEMAND_S)
-        local.demand += 1 / DEMAND_S
-        if local.tokens >= 1:
-            local.tokens -= 1
+        state = self.states.setdefault(key, LimitState(now, limit, free))
+        state.limit = limit
+        elapsed_s = now - state.at
+        state.at = now
+        rate = self.rate(now, state, limit, hosts)
+        # However small the share, the bucket holds at least a small burst.
+        state.tokens = min(max(free, rate), state.tokens + elapsed_s * rate)
+        state.demand *= math.exp(-elapsed_s / DEMAND_WINDOW_S)
+        state.demand += 1 / DEMAND_WINDOW_S
+        if state.tokens >= 1:
+            state.tokens -= 1
             return 0.0
-        return (1 - local.tokens) / rate
+        return (1 - state.tokens) / rate
 
     def rate(
-        self, now: float, local: Local, limit: float, hosts: int
+        self, now: float, state: LimitState, limit: float, hosts: int
     ) -> float:
-        """Return the rate of this host."""
-        if local.share is not None and now < local.share_until:
-            return max(local.share.rate, 1e-6)
+        """Return the rate at which this host's bucket is refilled."""
+        if state.share is not None and now < state.share_until:
+            return max(state.share.rate, 1e-6)
         if hosts <= 1:
             return limit
-        # Alone with an old share: an even part is safe whatever others do.
-        part = 1.0 if local.share is not None else UNKNOWN_SHARE
-        return limit * part / hosts
+        # Once its share has expired, the host uses an even split of the
+        # limit, which is safe whatever the other hosts do.
+        fraction = 1.0 if state.share is not None else UNKNOWN_SHARE
+        return limit * fraction / hosts
 
-    def due(self, now: float) -> dict[str, float]:
-        """Return the demands to report, by key; forget those that ended."""
+    def due_reports(self, now: float) -> dict[str, float]:
+        """Return the demands to report, by key; drop idle workspaces."""
         due = {}
-        for key, local in list(self.locals.items()):
-            demand = local.demand * math.exp(-(now - local.at) / DEMAND_S)
-            if demand < NO_DEMAND:
-                del self.locals[key]
+        for key, state in list(self.states.items()):
+            demand = state.demand * math.exp(
+                -(now - state.at) / DEMAND_WINDOW_S
+            )
+            if demand < MIN_DEMAND:
+                del self.states[key]
                 continue
-            few = demand < FREE_SHARE * local.limit and local.tokens >= 1
-            if few and local.share is None:
+            is_small = demand < FREE_SHARE * state.limit and state.tokens >= 1
+            if is_small and state.share is None:
                 continue
-            waited = now - local.reported_at
-            grown = demand > NEWS * local.reported
-            ends = local.share_until - now < REPORT_EVERY_S
-            if waited >= REPORT_EVERY_S and (grown or ends):
-                local.reported = demand
-                local.reported_at = now
+            since_report_s = now - state.reported_at
+            has_grown = demand > REPORT_GROWTH * state.reported
+            expires = state.share_until - now < MIN_REPORT_INTERVAL_S
+            if since_report_s >= MIN_REPORT_INTERVAL_S and (
+                has_grown or expires
+            ):
+                state.reported = demand
+                state.reported_at = now
                 due[key] = round(demand, 2)
         return due
 
-    def give(self, now: float, key: str, share: Share) -> None:
-        """Take a share from the divider."""
-        local = self.locals.get(key)
-        if local is not None:
-            if local.share is None:
-                # The wait for the first answer was not the caller's fault.
-                local.tokens = max(local.tokens, share.rate)
-            local.share = share
-            local.share_until = now + share.seconds
+    def set_share(self, now: float, key: str, share: Share) -> None:
+        """Put a share from the allocator in force."""
+        state = self.states.get(key)
+        if state is not None:
+            if state.share is None:
+                # Requests must not suffer from the wait for the first share.
+                state.tokens = max(state.tokens, share.rate)
+            state.share = share
+            state.share_until = now + share.seconds
 
 
-class Divider:
-    """Divides the limit of one workspace among the hosts that see demand."""
+class ShareAllocator:
+    """Allocates the limit of one workspace to the hosts that see demand.
+
+    Attributes:
+      demands: Last reported demand and its expiry, by host.
+    """
 
     def __init__(self) -> None:
         self.demands: dict[str, tuple[float, float]] = {}
 
-    def divide(
+    def allocate(
         self, now: float, host: str, demand: float, limit: float, hosts: int
     ) -> Share:
-        """Take a host's demand and return its share."""
+        """Record a host's demand and return its share."""
         for name in [n for n, d in self.demands.items() if d[1] <= now]:
             del self.demands[name]
-        self.demands[host] = (demand, now + FAR_S)
+        self.demands[host] = (demand, now + LOW_DEMAND_SHARE_S)
         total = sum(demand for demand, _ in self.demands.values())
         unknown = max(0, hosts - len(self.demands)) / max(1, hosts)
         usable = limit * (1 - UNKNOWN_SHARE * unknown)
-        if total <= FAR * limit:
-            # Room for this host's demand to grow; it reports when it does.
-            return Share(demand + (usable - total) / 2, FAR_S)
+        if total <= LOW_DEMAND * limit:
+            # Leaves headroom for this host's demand to grow; it reports
+            # again when it does.
+            return Share(demand + (usable - total) / 2, LOW_DEMAND_SHARE_S)
         if total <= usable:
-            part = demand / total
-            return Share(demand + (usable - total) * part, NEAR_S)
-        return Share(self.fair(usable, host), NEAR_S)
-
-    def fair(self, usable: float, host: str) -> float:
-        """Return a host's max-min fair part of what is less than all ask."""
+            fraction = demand / total
+            return Share(
+                demand + (usable - total) * fraction, HIGH_DEMAND_SHARE_S
+            )
+        return Share(self.fair_rate(usable, host), HIGH_DEMAND_SHARE_S)
+
+    def fair_rate(self, usable: float, host: str) -> float:
+        """Return a host's max-min fair rate; demand exceeds the limit."""
         left = usable
-        heads = len(self.demands)
+        unserved = len(self.demands)
         for name, (demand, _) in sorted(
-            self.demands.items(), key=lambda held: (held[1][0], held[0])
+            self.demands.items(), key=lambda entry: (entry[1][0], entry[0])
         ):
-            part = min(demand, left / heads)
+            rate = min(demand, left / unserved)
             if name == host:
-                return part
-            left -= part
-            heads -= 1
+                return rate
+            left -= rate
+            unserved -= 1
         return 0.0
--- a/camphortray/ratelimits.py
+++ b/camphortray/ratelimits.py
@@ -1,4 +1,4 @@
-"""Keeps the rate limits of workspaces together with the other hosts."""
+"""Enforces the rate limits of workspaces together with the other hosts."""
 
 __all__ = ["Demands", "RateLimits", "Shares"]
 
@@ -22,15 +22,15 @@
 from camphortray import tree
 
 LOG = logs.logger("limits")
-# Seconds from one look for demands to tell to the next; a first demand is
-# told at once.
-TICK_S = 1.0
+# Time between two reports of demand; the first demand of a workspace is
+# reported at once if it exceeds the free burst.
+REPORT_INTERVAL_S = 1.0
 
 
 @messages.message("limits.demand")
 @dataclasses.dataclass(frozen=True, slots=True)
 class Demands:
-    """Tells requests per second asked for, by ``SERVICE/WORKSPACE``."""
+    """Reports demand in requests per second, by ``SERVICE/WORKSPACE``."""
 
     demands: dict[str, float]
 
@@ -45,7 +45,12 @@
 
 @kernel.PARTS.register("entry")
 class RateLimits(kernel.Part):
-    """Checks limits and divides those that this host is chosen for."""
+    """Enforces limits, and allocates those that this host is chosen for.
+
+    Attributes:
+      local: The limits that this host enforces.
+      allocators: For the limits allocated here, by ``SERVICE/WORKSPACE``.
+    """
 
     name: ClassVar[str] = "ratelimits"
     requires: ClassVar[tuple[str, ...]] = ("peers", "membership", "settings")
@@ -57,7 +62,7 @@
         self.members = context.part(membership.Membership)
         self.tree = context.part(tree.Tree)
         self.local = limits.LocalLimits()
-        self.dividers: dict[str, limits.Divider] = {}
+        self.allocators: dict[str, limits.ShareAllocator] = {}
         self.wake = asyncio.Event()
         self.task: asyncio.Task[None] | None = None
 
@@ -68,14 +73,14 @@
     async def start(self) -> None:
         self.peers.on(Demands, self.on_demands)
         self.task = asyncio.get_running_loop().create_task(
-            tasks.forever("word on demands", self.run)
+            tasks.forever("report of rate-limit demand", self.run)
         )
 
     def check(self, service: settings.Service, workspace: str) -> None:
         """Count a request against its workspace's limit.
 
         Raises:
-          Refused: the workspace is over its limit.
+          Refused: the workspace has exceeded its limit.
         """
         limit = service.workspace(workspace).requests_per_s
         if not limit:
@@ -83,42 +88,46 @@
         key = f"{service.name}/{workspace}"
         hosts = len(self.members.live("entry"))
         now = self.clock.monotonic()
-        wait = self.local.take(now, key, limit, hosts)
-        local = self.local.locals[key]
-        if local.share is None and local.tokens < 1:
+        wait_s = self.local.take(now, key, limit, hosts)
+        state = self.local.states[key]
+        if state.share is None and state.tokens < 1:
             self.wake.set()
-        if wait:
-            # Spread, so that those refused together come back apart.
-            spread = 1 + self.context.rng.random()
+        if wait_s:
+            # Jitter, so that callers refused together do not retry together.
+            jitter = 1 + self.context.rng.random()
             raise errors.Refused(
                 429,
                 "rate_limited",
-                f"workspace is over {limit:g} requests per second",
-                retry_after=max(1.0, wait) * spread,
+                f"workspace exceeds its {limit:g} requests per second",
+                retry_after=max(1.0, wait_s) * jitter,
             )
 
     async def on_demands(
         self, sender: peers.Sender, message: Demands
     ) -> Shares:
-        """Divide limits for a host that asks."""
-        return Shares(self.divide(sender.host, message.demands))
+        """Answer a host's report of demand with its shares."""
+        return Shares(self.allocate(sender.host, message.demands))
 
-    def divide(
+    def allocate(
         self, host: str, demands: dict[str, float]
     ) -> dict[str, limits.Share]:
-        """Return a host's shares."""
+        """Return a host's shares of the limits it reported demand for."""
         now = self.clock.monotonic()
         hosts = len(self.members.live("entry"))
         shares = {}
         for key, demand in demands.items():
             limit = self.limit_of(key)
             if limit:
-                divider = self.dividers.setdefault(key, limits.Divider())
-                shares[key] = divider.divide(now, host, demand, limit, hosts)
+                allocator = self.allocators.setdefault(
+                    key, limits.ShareAllocator()
+                )
+                shares[key] = allocator.allocate(
+                    now, host, demand, limit, hosts
+                )
         return shares
 
     def limit_of(self, key: str) -> float:
-        """Return the limit in force here, 0 if there is none."""
+        """Return the limit of a workspace in the settings, 0 for none."""
         name, _, workspace = key.partition("/")
         service = self.tree.view.services.get(name)
         if service is None:
@@ -126,23 +135,25 @@
         return service.workspace(workspace).requests_per_s
 
     async def run(self) -> None:
-        """Tell demands in time."""
+        """Report demand periodically."""
         while True:
             with contextlib.suppress(TimeoutError):
-                await asyncio.wait_for(self.wake.wait(), TICK_S)
+                await asyncio.wait_for(self.wake.wait(), REPORT_INTERVAL_S)
             self.wake.clear()
-            self.publish_due()
-            self.forget()
+            self.report_demands()
+            self.drop_idle()
 
-    def publish_due(self) -> None:
-        """Tell each demand to the host that divides its limit."""
+    def report_demands(self) -> None:
+        """Report each demand to the host that allocates its limit."""
         live = {member.name: member for member in self.members.live("entry")}
         grouped: dict[str, dict[str, float]] = collections.defaultdict(dict)
-        for key, demand in self.local.due(self.clock.monotonic()).items():
+        for key, demand in self.local.due_reports(
+            self.clock.monotonic()
+        ).items():
             name = shards.preferred(f"limits/{key}", live)
             if name == self.members.own_name:
                 own = self.context.config.host.name
-                self.give(self.divide(own, {key: demand}))
+                self.apply_shares(self.allocate(own, {key: demand}))
             elif name is not None:
                 grouped[live[name].peer_address][key] = demand
         for address, demands in grouped.items():
@@ -153,26 +164,26 @@
     async def ask(
         self, address: configs.Address, demands: dict[str, float]
     ) -> None:
-        """Ask for shares; without an answer the ones before run out."""
+        """Ask for shares; without an answer the current ones expire."""
         try:
             answer = await self.peers.ask(address, Demands(demands))
         except errors.MessageError as error:
-            LOG.debug("No shares: {}", error)
+            LOG.debug("Could not get shares of rate limits: {}", error)
             return
-        self.give(answer.shares)
+        self.apply_shares(answer.shares)
 
-    def give(self, shares: dict[str, limits.Share]) -> None:
-        """Put shares in force."""
+    def apply_shares(self, shares: dict[str, limits.Share]) -> None:
+        """Put the shares of an answer in force."""
         now = self.clock.monotonic()
         for key, share in shares.items():
-            self.local.give(now, key, share)
+            self.local.set_share(now, key, share)
 
-    def forget(self) -> None:
-        """Drop dividers that nobody has asked for some time."""
+    def drop_idle(self) -> None:
+        """Drop allocators whose reported demands have all expired."""
         now = self.clock.monotonic()
-        for key, divider in list(self.dividers.items()):
-            if all(until <= now for _, until in divider.demands.values()):
-                del self.dividers[key]
+        for key, allocator in list(self.allocators.items()):
+            if all(until <= now for _, until in allocator.demands.values()):
+                del self.allocators[key]
 
     async def stop(self) -> None:
         if self.task is not None:
