--- a/camphortray/admission.py
+++ b/camphortray/admission.py
@@ -22,7 +22,7 @@
 # time is left until its deadline.
 MIN_SERVICE_SHARE = 0.5
 
-Waiting = fairness.Waiting[asyncio.Future[None]]
+Waiting = fairness.QueuedRequest[asyncio.Future[None]]
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
@@ -132,12 +132,14 @@
     ) -> None:
         """Wait in the queue; ``admit_waiting`` counts the request."""
         weight = gate.service.workspace(workspace).weight
-        wait_s = gate.window.wait_s(gate.queue.ahead(workspace, weight))
+        wait_s = gate.window.wait_s(gate.queue.count_ahead(workspace, weight))
         now = self.clock.monotonic()
         if self.would_miss_deadline(gate, now + wait_s, deadline_at):
             raise self.too_late(gate, wait_s)
         admitted = asyncio.get_running_loop().create_future()
-        waiting: Waiting = fairness.Waiting(workspace, admitted, deadline_at)
+        waiting: Waiting = fairness.QueuedRequest(
+            workspace, admitted, deadline_at
+        )
         dropped = gate.queue.put(waiting, weight)
         if dropped is not None:
             self.refuse(dropped, self.busy(gate, wait_s))
@@ -237,7 +239,7 @@
 
     def refuse_late(self, gate: Gate, now: float) -> None:
         """Refuse queued requests that would miss their deadline by now."""
-        for waiting in gate.queue.drop_if(
+        for waiting in gate.queue.remove_if(
             lambda queued: self.would_miss_deadline(
                 gate, now, queued.deadline_at
             )
--- a/camphortray/fairness.py
+++ b/camphortray/fairness.py
@@ -1,6 +1,6 @@
-"""Bounded queues of one service, fair between workspaces by weight."""
+"""Weighted fair queueing of the requests of one service by workspace."""
 
-__all__ = ["FairQueue", "Waiting"]
+__all__ = ["FairQueue", "QueuedRequest"]
 
 import collections
 from collections.abc import Callable
@@ -12,13 +12,13 @@
 
 
 @dataclasses.dataclass(eq=False, slots=True)
-class Waiting(Generic[T]):
-    """A request that waits.
+class QueuedRequest(Generic[T]):
+    """A request in the queue.
 
     Attributes:
-      workspace: Who asks.
-      item: What the caller of the queue put in.
-      deadline_at: When its answer is due.
+      workspace: Workspace of the caller.
+      item: Payload given by the user of the queue.
+      deadline_at: Monotonic time by which the answer is due.
     """
 
     workspace: str
@@ -31,13 +31,14 @@
     """The queue of one workspace.
 
     Attributes:
-      weight: Its share of the service against others'.
-      served_at: Virtual time up to which it has had its share.
+      weight: Its weight relative to other workspaces.
+      virtual_time: Virtual time up to which it has used its share.
+      queue: Its requests, the oldest first.
     """
 
     weight: float
-    served_at: float = 0.0
-    queue: collections.deque[Waiting[T]] = dataclasses.field(
+    virtual_time: float = 0.0
+    queue: collections.deque[QueuedRequest[T]] = dataclasses.field(
         default_factory=collections.deque
     )
 
@@ -45,106 +46,117 @@
 class FairQueue(Generic[T]):
     """Start-time fair queueing with one lane for each workspace.
 
-    Each request moves its lane's virtual time on by ``1 / weight``; the
-    lane that is furthest behind goes next. A lane that was empty starts at
-    the time of the lane served last, so that it neither pays for nor saves
-    up the time it did not use.
+    Each request advances the virtual time of its lane by ``1 / weight``; the
+    lane with the earliest virtual time is served next. A lane that becomes
+    active starts at the virtual time of the lane served last, so that it is
+    neither charged nor credited for the time it was idle.
 
     Attributes:
-      limit: Requests that may wait in all lanes together.
-      size: Requests that wait.
+      limit: Largest number of requests in all lanes together.
+      size: Number of requests in all lanes.
+      lanes: By workspace.
+      virtual_now: Virtual time of the lane served last.
     """
 
     def __init__(self, limit: int) -> None:
         self.limit = limit
         self.size = 0
         self.lanes: dict[str, Lane[T]] = {}
-        self.virtual = 0.0
+        self.virtual_now = 0.0
 
-    def put(self, waiting: Waiting[T], weight: float) -> Waiting[T] | None:
-        """Add a request; return the one that has to go, if one has.
+    def put(
+        self, waiting: QueuedRequest[T], weight: float
+    ) -> QueuedRequest[T] | None:
+        """Add a request; return the one dropped for it, if any.
 
-        When all is full, the newest request of the lane that is longest
-        for its weight goes, so that a flood from one workspace pushes out
-        itself and not the others.
+        If the queue is full, the newest request of the lane that is longest
+        in proportion to its weight is dropped, so that a workspace that
+        floods the queue loses its own requests and not those of others.
         """
         lane = self.lanes.get(waiting.workspace)
         if lane is None:
             lane = self.lanes[waiting.workspace] = Lane(
-                max(weight, 1e-6), self.virtual
+                max(weight, 1e-6), self.virtual_now
             )
         lane.weight = max(weight, 1e-6)
         if not lane.queue:
-            lane.served_at = max(lane.served_at, self.virtual)
+            lane.virtual_time = max(lane.virtual_time, self.virtual_now)
         lane.queue.append(waiting)
         self.size += 1
         if self.size <= self.limit:
             return None
         longest = max(
-            self.lanes.values(), key=lambda held: len(held.queue) / held.weight
+            self.lanes.values(), key=lambda each: len(each.queue) / each.weight
         )
-        pushed = longest.queue.pop()
+        dropped = longest.queue.pop()
         self.size -= 1
-        self.tidy()
-        return pushed
+        self.drop_idle_lanes()
+        return dropped
 
-    def pop(self) -> Waiting[T] | None:
-        """Return the request whose turn it is, or None."""
-        full = [lane for lane in self.lanes.values() if lane.queue]
-        if not full:
+    def pop(self) -> QueuedRequest[T] | None:
+        """Remove and return the next request, or return None."""
+        waiting_lanes = [lane for lane in self.lanes.values() if lane.queue]
+        if not waiting_lanes:
             return None
-        lane = min(full, key=lambda held: held.served_at)
-        self.virtual = lane.served_at
-        lane.served_at += 1 / lane.weight
+        lane = min(waiting_lanes, key=lambda each: each.virtual_time)
+        self.virtual_now = lane.virtual_time
+        lane.virtual_time += 1 / lane.weight
         self.size -= 1
         waiting = lane.queue.popleft()
-        self.tidy()
+        self.drop_idle_lanes()
         return waiting
 
-    def remove(self, waiting: Waiting[T]) -> None:
-        """Take a request out of the queue, if it is there."""
+    def remove(self, waiting: QueuedRequest[T]) -> None:
+        """Remove a request from the queue, if it is there."""
         lane = self.lanes.get(waiting.workspace)
         if lane is not None and waiting in lane.queue:
             lane.queue.remove(waiting)
             self.size -= 1
-            self.tidy()
+            self.drop_idle_lanes()
 
-    def tidy(self) -> None:
-        """Drop empty lanes that owe nothing.
+    def drop_idle_lanes(self) -> None:
+        """Drop empty lanes that have not used more than their share.
 
-        One that has had more than its share keeps its time: else asking
-        one request at a time would always put it in front.
+        A lane that has used more keeps its virtual time. Otherwise a workspace
+        that sends one request at a time would always be served first.
         """
-        done = [
+        idle = [
             name
             for name, lane in self.lanes.items()
-            if not lane.queue and lane.served_at <= self.virtual
+            if not lane.queue and lane.virtual_time <= self.virtual_now
         ]
-        for name in done:
+        for name in idle:
             del self.lanes[name]
         if not self.size:
-            # Nobody waits, so nobody is owed or owes anything.
+            # Without competing requests there is no share to account for.
             self.lanes.clear()
 
-    def drop_if(self, late: Callable[[Waiting[T]], bool]) -> list[Waiting[T]]:
-        """Take out and return all requests for which ``late`` holds."""
-        gone = [w for d in self.lanes.values() for w in d.queue if late(w)]
-        for waiting in gone:
+    def remove_if(
+        self, predicate: Callable[[QueuedRequest[T]], bool]
+    ) -> list[QueuedRequest[T]]:
+        """Remove and return all requests for which ``predicate`` is true."""
+        removed = [
+            waiting
+            for lane in self.lanes.values()
+            for waiting in lane.queue
+            if predicate(waiting)
+        ]
+        for waiting in removed:
             self.remove(waiting)
-        return gone
+        return removed
 
-    def ahead(self, workspace: str, weight: float) -> float:
+    def count_ahead(self, workspace: str, weight: float) -> float:
         """Return how many requests would be served before a new one.
 
-        Its own lane goes first come first; of each other lane as many go
-        as its weight allows until then, if it has that many.
+        These are all of its own lane, and of each other lane as many as its
+        weight allows in that time.
         """
         own = self.lanes.get(workspace)
-        mine = len(own.queue) if own is not None else 0
-        rounds = (mine + 1) / max(weight, 1e-6)
+        own_count = len(own.queue) if own is not None else 0
+        rounds = (own_count + 1) / max(weight, 1e-6)
         others = sum(
             min(len(lane.queue), rounds * lane.weight)
             for name, lane in self.lanes.items()
             if name != workspace
         )
-        return mine + others
+        return own_count + others
--- a/tests/test_admission.py
+++ b/tests/test_admission.py
@@ -95,7 +95,7 @@
     queue = fairness.FairQueue(1000)
     for _ in range(100):
         for name, weight in weights.items():
-            queue.put(fairness.Waiting(name, None, 0.0), weight)
+            queue.put(fairness.QueuedRequest(name, None, 0.0), weight)
     turns = [queue.pop().workspace for _ in range(60)]
     assert (turns.count("a"), turns.count("b")) == shares
 
@@ -106,11 +106,11 @@
     queue = fairness.FairQueue(1000)
     for name in "abcd":
         for _ in range(100):
-            queue.put(fairness.Waiting(name, None, 0.0), 1.0)
+            queue.put(fairness.QueuedRequest(name, None, 0.0), 1.0)
     turns = []
     for _ in range(50):
         if "sly" not in queue.lanes or not queue.lanes["sly"].queue:
-            queue.put(fairness.Waiting("sly", None, 0.0), 1.0)
+            queue.put(fairness.QueuedRequest("sly", None, 0.0), 1.0)
         turns.append(queue.pop().workspace)
     assert turns.count("sly") <= 11
 
@@ -118,8 +118,8 @@
 def test_a_full_queue_drops_from_the_longest_lane():
     queue = fairness.FairQueue(3)
     for name in "aaa":
-        assert queue.put(fairness.Waiting(name, None, 0.0), 1.0) is None
-    dropped = queue.put(fairness.Waiting("b", None, 0.0), 1.0)
+        assert queue.put(fairness.QueuedRequest(name, None, 0.0), 1.0) is None
+    dropped = queue.put(fairness.QueuedRequest("b", None, 0.0), 1.0)
     assert dropped.workspace == "a"
     assert queue.size == 3
 
