--- a/camphortray/priority_queue.py
+++ b/camphortray/priority_queue.py
@@ -1,4 +1,4 @@
-"""A priority queue of things by name, which may be changed or dropped."""
+"""A priority queue whose entries can be replaced and removed by name."""
 
 __all__ = ["PriorityQueue"]
 
@@ -8,8 +8,8 @@
 from typing import Generic
 from typing import TypeVar
 
-# Entries of what is gone stay in the heap until it holds this many times
-# what is there, and this many more.
+# Stale entries of removed or replaced values stay in the heap until its size
+# exceeds the number of values times SLACK_TIMES, plus SLACK_ENTRIES.
 SLACK_TIMES = 2
 SLACK_ENTRIES = 64
 
@@ -17,60 +17,66 @@
 
 
 class PriorityQueue(Generic[T]):
-    """Holds things by name; the one with the least key comes first.
+    """Values by name; the value with the smallest key comes first.
 
     Attributes:
-      held: Key and thing by name.
+      entries: Key and value by name.
+      heap: Key and name of each value, and stale entries.
     """
 
     def __init__(self) -> None:
-        self.held: dict[str, tuple[float, T]] = {}
+        self.entries: dict[str, tuple[float, T]] = {}
         self.heap: list[tuple[float, str]] = []
 
     def __len__(self) -> int:
-        return len(self.held)
+        return len(self.entries)
 
     def __contains__(self, name: str) -> bool:
-        return name in self.held
+        return name in self.entries
 
     def __iter__(self) -> Iterator[T]:
-        return iter([thing for _, thing in self.held.values()])
+        return iter([value for _, value in self.entries.values()])
 
-    def add(self, name: str, key: float, thing: T) -> None:
-        """Take a thing in, in place of one of the same name."""
-        self.held[name] = key, thing
+    def add(self, name: str, key: float, value: T) -> None:
+        """Add a value, replacing that of the same name."""
+        self.entries[name] = key, value
         heapq.heappush(self.heap, (key, name))
-        if len(self.heap) > SLACK_TIMES * len(self.held) + SLACK_ENTRIES:
-            self.heap = [(key, name) for name, (key, _) in self.held.items()]
+        if len(self.heap) > SLACK_TIMES * len(self.entries) + SLACK_ENTRIES:
+            self.heap = [
+                (key, name) for name, (key, _) in self.entries.items()
+            ]
             heapq.heapify(self.heap)
 
     def drop(self, name: str) -> T | None:
-        """Take a thing out; return it, if it was there."""
-        found = self.held.pop(name, None)
+        """Remove a value; return it, or None if there was none."""
+        found = self.entries.pop(name, None)
         return found[1] if found is not None else None
 
     def first(
-        self, suits: Callable[[T], bool] | None = None, most: int = 0
+        self,
+        predicate: Callable[[T], bool] | None = None,
+        max_skipped: int = 0,
     ) -> T | None:
-        """Return the first thing that suits, and leave it in.
+        """Return the first value that matches, without removing it.
 
         Args:
-          suits: What is asked of it; left out, any does.
-          most: Things to look at, 0 for all.
+          predicate: Condition on the value; None to accept any.
+          max_skipped: Stop after this many values that do not match; 0 for no
+            limit.
         """
-        passed: list[tuple[float, str]] = []
+        skipped: list[tuple[float, str]] = []
         chosen: T | None = None
         while self.heap and chosen is None:
             entry = self.heap[0]
-            key, thing = self.held.get(entry[1], (None, None))
-            if thing is None or key != entry[0]:
+            key, value = self.entries.get(entry[1], (None, None))
+            if value is None or key != entry[0]:
                 heapq.heappop(self.heap)
-            elif suits is None or suits(thing):
-                chosen = thing
+            elif predicate is None or predicate(value):
+                chosen = value
             else:
-                passed.append(heapq.heappop(self.heap))
-                if len(passed) == most:
+                skipped.append(heapq.heappop(self.heap))
+                if len(skipped) == max_skipped:
                     break
-        for entry in passed:
+        for entry in skipped:
             heapq.heappush(self.heap, entry)
         return chosen
