--- a/camphortray/admission.py
+++ b/camphortray/admission.py
@@ -48,13 +48,13 @@
       service: The service in the newest settings.
       queue: Requests that wait for admission.
       window: Concurrency limit.
-      inside: Number of admitted requests that have not ended.
+      active: Number of admitted requests that have not ended.
     """
 
     service: settings.Service
     queue: fairness.FairQueue[asyncio.Future[None]]
     window: windows.Window
-    inside: int = 0
+    active: int = 0
 
 
 @kernel.PARTS.register("entry")
@@ -121,8 +121,8 @@
         now = self.clock.monotonic()
         if now >= deadline_at:
             raise self.too_late(gate, 0.0)
-        if not gate.queue.size and gate.window.room(gate.inside):
-            gate.inside += 1
+        if not gate.queue.size and gate.window.has_room(gate.active):
+            gate.active += 1
             return Ticket(service.name, workspace, now)
         await self.wait(gate, workspace, deadline_at)
         return Ticket(service.name, workspace, self.clock.monotonic())
@@ -159,7 +159,10 @@
         self, gate: Gate, start_at: float, deadline_at: float
     ) -> bool:
         """Return whether a request started then would end too late."""
-        return start_at + gate.window.held_s * MIN_SERVICE_SHARE > deadline_at
+        return (
+            start_at + gate.window.service_time_s * MIN_SERVICE_SHARE
+            > deadline_at
+        )
 
     def refuse(self, waiting: Waiting, refusal: errors.Refused) -> None:
         """Refuse a queued request."""
@@ -191,25 +194,27 @@
     def leave(self, ticket: Ticket) -> None:
         """Return the ticket of a request that has ended."""
         gate = self.gates[ticket.service]
-        gate.window.left(self.clock.monotonic() - ticket.entered_at)
+        gate.window.record_service_time(
+            self.clock.monotonic() - ticket.entered_at
+        )
         self.release(gate)
 
     def release(self, gate: Gate) -> None:
         """Release one place and admit the next request."""
-        gate.inside -= 1
+        gate.active -= 1
         self.admit_waiting(gate)
 
     def admit_waiting(self, gate: Gate) -> None:
         """Admit waiting requests in turn while the window has room."""
         now = self.clock.monotonic()
-        while gate.window.room(gate.inside):
+        while gate.window.has_room(gate.active):
             waiting = gate.queue.pop()
             if waiting is None:
                 return
             if self.would_miss_deadline(gate, now, waiting.deadline_at):
                 self.refuse(waiting, self.too_late(gate, 0.0))
             elif not waiting.item.done():
-                gate.inside += 1
+                gate.active += 1
                 waiting.item.set_result(None)
 
     def first_token(
--- a/camphortray/concurrency_limit.py
+++ b/camphortray/concurrency_limit.py
@@ -1,64 +1,72 @@
-"""How many requests of a service one host has at upstreams at once."""
+"""Adaptive limit on one host's concurrent requests to a service."""
 
 __all__ = ["Window"]
 
 import math
 
-# Factor on a host's even share of the slots, as callers spread unevenly.
-SPREAD = 2.0
-# Weight of a new measurement in the running means.
-NEW = 0.1
-CUT = 0.8
-# Least seconds between two cuts: a cut shows only in later requests.
-CUT_EVERY_S = 1.0
-# Seconds an answer is taken to last before one was measured.
-FIRST_GUESS_S = 1.0
+# Initial limit relative to an even share of the slots. It is above 1, as
+# callers are not spread evenly over the hosts.
+INITIAL_SHARE_FACTOR = 2.0
+# Weight of a new measurement in the moving average of the service time.
+SERVICE_TIME_WEIGHT = 0.1
+# Factor of a multiplicative decrease of the limit.
+DECREASE_FACTOR = 0.8
+# Shortest time between two decreases: the effect of a decrease shows only in
+# later requests.
+MIN_DECREASE_INTERVAL_S = 1.0
+# Assumed service time until one has been measured.
+INITIAL_SERVICE_TIME_S = 1.0
 
 
 class Window:
     """Additive increase and multiplicative decrease by time to first token.
 
     Attributes:
-      size: Requests that may be inside.
-      held_s: Mean seconds a request stays inside.
+      size: Largest number of active requests.
+      min_size: Lower bound of the size.
+      max_size: Upper bound of the size.
+      service_time_s: Mean time from the admission of a request to its end.
+      decreased_at: Monotonic time of the last decrease.
     """
 
     def __init__(self) -> None:
         self.size = 0.0
-        self.low = 1.0
-        self.high = 1.0
-        self.held_s = FIRST_GUESS_S
-        self.cut_at = -CUT_EVERY_S
+        self.min_size = 1.0
+        self.max_size = 1.0
+        self.service_time_s = INITIAL_SERVICE_TIME_S
+        self.decreased_at = -MIN_DECREASE_INTERVAL_S
 
     def bound(self, slots: int, hosts: int) -> None:
-        """Fit the window to the slots of all upstreams and to the hosts.
+        """Adjust the bounds to the slots of all upstreams and to the hosts.
 
-        More than all slots would queue at an engine, which is not fair
-        and cannot be called back.
+        Requests in excess of all slots would queue at an engine, where they
+        are not served fairly and cannot be withdrawn.
         """
         share = slots / max(1, hosts)
-        self.low = max(1.0, share / 2)
-        self.high = max(self.low, float(slots))
+        self.min_size = max(1.0, share / 2)
+        self.max_size = max(self.min_size, float(slots))
         if not self.size:
-            self.size = share * SPREAD
-        self.size = min(max(self.size, self.low), self.high)
+            self.size = share * INITIAL_SHARE_FACTOR
+        self.size = min(max(self.size, self.min_size), self.max_size)
 
-    def room(self, inside: int) -> bool:
-        """Return whether one more may go in."""
-        return inside < math.ceil(self.size)
+    def has_room(self, active: int) -> bool:
+        """Return whether one more request may become active."""
+        return active < math.ceil(self.size)
 
     def first_token(self, now: float, seconds: float, limit_s: float) -> None:
-        """Steer by a measured time to first token and its objective."""
+        """Adjust the size by a measured time to first token."""
         if seconds <= limit_s:
-            self.size = min(self.high, self.size + 1 / max(1.0, self.size))
-        elif now - self.cut_at >= CUT_EVERY_S:
-            self.cut_at = now
-            self.size = max(self.low, self.size * CUT)
+            self.size = min(self.max_size, self.size + 1 / max(1.0, self.size))
+        elif now - self.decreased_at >= MIN_DECREASE_INTERVAL_S:
+            self.decreased_at = now
+            self.size = max(self.min_size, self.size * DECREASE_FACTOR)
 
-    def left(self, seconds: float) -> None:
-        """Take note of how long a request was inside."""
-        self.held_s += NEW * (seconds - self.held_s)
+    def record_service_time(self, seconds: float) -> None:
+        """Record the time from the admission of a request to its end."""
+        self.service_time_s += SERVICE_TIME_WEIGHT * (
+            seconds - self.service_time_s
+        )
 
-    def wait_s(self, ahead: float) -> float:
-        """Return the expected wait behind so many others."""
-        return (ahead + 1) * self.held_s / max(1.0, self.size)
+    def wait_s(self, requests_ahead: float) -> float:
+        """Return the expected wait behind ``requests_ahead`` requests."""
+        return (requests_ahead + 1) * self.service_time_s / max(1.0, self.size)
--- a/tests/test_admission.py
+++ b/tests/test_admission.py
@@ -181,7 +181,7 @@
         await asyncio.sleep(0)
         gate = part.gates[fleet.service.name]
         assert await waiting[2]
-        assert (gate.inside, gate.queue.size) == (32, 0)
+        assert (gate.active, gate.queue.size) == (32, 0)
 
 
 def test_retry_times_are_jittered():
@@ -208,7 +208,7 @@
 ):
     limit = concurrency_limit.Window()
     limit.bound(slots, hosts)
-    assert limit.room(first - 1) and not limit.room(first)
+    assert limit.has_room(first - 1) and not limit.has_room(first)
     for now in range(100):
         limit.first_token(now, 2.0, 1.2)
     assert limit.size == low
