--- a/camphortray/fairness.py
+++ b/camphortray/fairness.py
@@ -136,10 +136,10 @@
     ) -> list[QueuedRequest[T]]:
         """Remove and return all requests for which ``predicate`` is true."""
         removed = [
-            waiting
+            queued
             for lane in self.lanes.values()
-            for waiting in lane.queue
-            if predicate(waiting)
+            for queued in lane.queue
+            if predicate(queued)
         ]
         for waiting in removed:
             self.remove(waiting)
