--- a/camphortray/weights.py
+++ b/camphortray/weights.py
@@ -1,4 +1,4 @@
-"""The rate-limited store of model weights."""
+"""Interface to the rate-limited store of model weights."""
 
 __all__ = ["MemoryWeightStore", "WEIGHT_STORES", "WeightSize", "WeightStore"]
 
@@ -12,11 +12,11 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class WeightSize:
-    """What the store knows of a version of a model.
+    """Size of the weights of a model version, and the rate of the store.
 
     Attributes:
       size_bytes: Size of the weights.
-      rate_bytes_s: Rate the store grants to all loads together.
+      rate_bytes_s: Transfer rate that all loads share, in bytes per second.
     """
 
     size_bytes: int
@@ -24,23 +24,23 @@
 
 
 class WeightStore(abc.ABC):
-    """Where upstreams load weights from; they share its rate."""
+    """Store from which upstreams load weights, at a rate that they share."""
 
     @classmethod
     @abc.abstractmethod
     def from_config(cls, config: configs.PlatformConfig) -> "WeightStore":
-        """Build from settings."""
+        """Create the store from its configuration."""
 
     @abc.abstractmethod
     async def size(self, model: str, version: str) -> WeightSize:
-        """Return what the store knows of a version.
+        """Return the size of a model version and the rate of the store.
 
         Raises:
-          CamphortrayError: unknown version, or the store is down.
+          CamphortrayError: the version is unknown or the store is unavailable.
         """
 
     async def close(self) -> None:
-        """Release connections."""
+        """Close all connections."""
 
 
 WEIGHT_STORES: registry.Registry[WeightStore] = registry.Registry(
@@ -50,7 +50,7 @@
 
 @WEIGHT_STORES.register("memory")
 class MemoryWeightStore(WeightStore):
-    """A store in memory, for tests."""
+    """An in-memory store for tests."""
 
     def __init__(self, rate_bytes_s: float = 1e9) -> None:
         self.sizes: dict[tuple[str, str], int] = {}
@@ -67,7 +67,9 @@
         known = self.sizes.get((model, version))
         if self.down or known is None:
             raise errors.CamphortrayError(
-                "down" if self.down else f"no {model} {version}",
+                "store is down"
+                if self.down
+                else f"unknown version {version} of model {model}",
                 step="size",
                 peer="memory",
             )
