--- a/camphortray/prefix.py
+++ b/camphortray/prefix.py
@@ -1,4 +1,4 @@
-"""Where the leading blocks of a prompt are likely to be cached."""
+"""Prompt prefixes, by which requests are routed to a warm KV cache."""
 
 __all__ = ["BLOCK_CHARS", "Prefix", "prefix_of"]
 
@@ -6,18 +6,18 @@
 
 import xxhash
 
-# Characters of one block. Prompts that share a preamble of a block or
-# more meet at the same upstream.
+# Characters of one block. Prompts that share a preamble of at least one
+# block prefer the same upstream.
 BLOCK_CHARS = 256
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Prefix:
-    """The leading blocks of one prompt.
+    """The prefix of one prompt.
 
     Attributes:
-      key: Hash of the first block, by which an upstream is chosen; empty
-        for a prompt shorter than one block.
+      key: Hash of the model and the first block, which determines the
+        preferred upstream; empty for a prompt shorter than one block.
       length: Characters of the whole prompt.
     """
 
@@ -28,8 +28,8 @@
 def prefix_of(model: str, text: str) -> Prefix:
     """Return the prefix of a prompt.
 
-    Only the first block chooses the upstream: callers that share the
-    preamble of a service go to the same place whatever they ask next.
+    Only the first block determines the preferred upstream, so that callers
+    that share the preamble of a service have the same one, whatever follows.
 
     >>> prefix_of("m", "short").key
     ''
