--- a/tests/test_online_decisions.py
+++ b/tests/test_online_decisions.py
@@ -1,4 +1,4 @@
-"""Tables of the decisions of the online path, without any socket."""
+"""Decisions of the online path, tested in tables without sockets."""
 
 import collections
 import random
@@ -21,12 +21,12 @@
 
 CHAT = "/v1/chat/completions"
 PLAIN = "/v1/completions"
-SAID = '"messages":[{"role":"user","content":"hi"}]'
+MESSAGES = '"messages":[{"role":"user","content":"hi"}]'
 
 
-def said(fields):
-    """Return a chat body with fields before its messages."""
-    return "{" + fields + SAID + "}"
+def chat_body(fields):
+    """Return a chat completion body with fields before its messages."""
+    return "{" + fields + MESSAGES + "}"
 
 
 def upstream(name, zone="", slots=32):
@@ -40,9 +40,9 @@
         (CHAT, b"\xff\xfe", "bad_json", "(body)"),
         (CHAT, "[1]", "bad_field", "(body)"),
         (CHAT, '{"x":' + "[" * 100_000, "bad_json", "(body)"),
-        (CHAT, said(""), "bad_field", "model"),
-        (CHAT, said('"model":7,'), "bad_field", "model"),
-        (CHAT, said('"model":"",'), "bad_field", "model"),
+        (CHAT, chat_body(""), "bad_field", "model"),
+        (CHAT, chat_body('"model":7,'), "bad_field", "model"),
+        (CHAT, chat_body('"model":"",'), "bad_field", "model"),
         (CHAT, '{"model":"m","messages":"hi"}', "bad_field", "messages"),
         (CHAT, '{"model":"m","messages":[]}', "bad_field", "messages"),
         (CHAT, '{"model":"m"}', "bad_field", "messages"),
@@ -58,17 +58,17 @@
             "bad_field",
             "messages[0].role",
         ),
-        (CHAT, said('"model":"m","stream":1,'), "bad_field", "stream"),
-        (CHAT, said('"model":"m","n":0,'), "bad_field", "n"),
+        (CHAT, chat_body('"model":"m","stream":1,'), "bad_field", "stream"),
+        (CHAT, chat_body('"model":"m","n":0,'), "bad_field", "n"),
         (
             CHAT,
-            said('"model":"m","max_tokens":"9",'),
+            chat_body('"model":"m","max_tokens":"9",'),
             "bad_field",
             "max_tokens",
         ),
         (
             CHAT,
-            said('"model":"m","max_tokens":-1,'),
+            chat_body('"model":"m","max_tokens":-1,'),
             "bad_field",
             "max_tokens",
         ),
@@ -107,10 +107,10 @@
     ("share", "successes", "allowed"),
     [(0.2, 0, 32), (0.2, 1000, 232), (0.0, 1000, 32)],
 )
-def test_an_outage_is_not_multiplied(share, successes, allowed):
-    # Callers see refusals at once while all upstreams fail. Each failed
-    # try asks for another; the budget lets a share of what lately worked
-    # through, so that the load on upstreams does not grow with failure.
+def test_retries_do_not_amplify_an_outage(share, successes, allowed):
+    # While all upstreams fail, each failed attempt asks for a retry. The
+    # budget allows only a share of the recent successes, so that retries do
+    # not add to the load; callers then get a refusal at once.
     budget = retry.RetryBudget(share)
     for step in range(successes):
         budget.succeeded(100 + step * 0.01)
@@ -119,7 +119,7 @@
     assert budget.allow(200.0)
 
 
-def test_outliers_are_put_aside_longer_each_time_and_never_too_many():
+def test_outliers_are_ejected_longer_each_time_and_never_too_many():
     book = outlier.Outliers()
     names = ["a", "b", "c", "d"]
     for name in names[:3]:
@@ -136,26 +136,26 @@
     assert book.ejected(names, 16.0) == set()
 
 
-LIVE, GOES, GONE = "live", "leaving", "gone"
-DRAINS = engine.EngineState((), draining=True)
-SERVES = engine.EngineState(())
+LIVE, LEAVING, GONE = "live", "leaving", "gone"
+DRAINING = engine.EngineState((), draining=True)
+SERVING = engine.EngineState(())
 
 
 @pytest.mark.parametrize(
     ("lists", "state", "back"),
     [
-        # Its own refusal marked it; a late list proves nothing.
-        ([LIVE], DRAINS, False),
+        # Marked by its own refusal; a list without the change is no proof.
+        ([LIVE], DRAINING, False),
         ([LIVE], None, False),
-        ([LIVE], SERVES, True),
-        # Another host may have it from the list, not read here since.
-        ([], SERVES, False),
-        # The list sends it away and takes it back.
-        ([GOES], SERVES, False),
+        ([LIVE], SERVING, True),
+        # Another host may have read it in a list that this one has not read.
+        ([], SERVING, False),
+        # The list reports it as leaving, and as live again.
+        ([LEAVING], SERVING, False),
         ([GONE], None, False),
-        ([GOES, LIVE], None, True),
-        ([GOES, LIVE], DRAINS, False),
-        ([LIVE, GOES], SERVES, False),
+        ([LEAVING, LIVE], None, True),
+        ([LEAVING, LIVE], DRAINING, False),
+        ([LIVE, LEAVING], SERVING, False),
     ],
 )
 def test_a_leaving_upstream_comes_back_only_on_good_word(lists, state, back):
@@ -164,39 +164,39 @@
     for status in lists:
         book.on_list([hostlist.ListedHost("e", "upstream", status)])
     assert book.is_back("e", state, 101.0) is back
-    # What cannot be asked is tried again when the list has caught up.
+    # One that cannot be asked is used again once the list is up to date.
     late = 100.0 + draining.UNASKED_S
     back = back or (state is None and lists == [LIVE])
-    # While the list is away, its own word counts in the end.
-    back = back or (state is SERVES and not lists)
+    # Without a list, its own state decides after a while.
+    back = back or (state is SERVING and not lists)
     assert book.is_back("e", state, late) is back
 
 
-def test_the_list_read_before_a_mark_proves_nothing_against_it():
-    # One host has read that an upstream leaves, and tells the others. One
-    # of them, whose list is older, asks the upstream, which does not know
-    # yet; taken back, it got new work on all hosts.
+def test_a_list_read_before_a_mark_does_not_clear_it():
+    # One host reads in the list that an upstream is leaving and tells the
+    # others. Another, with an older list, asks the upstream, which does not
+    # know yet. It was then marked as back, and all hosts sent it new work.
     book = draining.DrainingUpstreams()
     line = hostlist.ListedHost("e", "upstream", LIVE)
     book.on_list([line])
     book.mark("e", True, 100.0)
-    assert not book.is_back("e", SERVES, 101.0)
+    assert not book.is_back("e", SERVING, 101.0)
     book.on_list([line])
-    assert book.is_back("e", SERVES, 101.5)
+    assert book.is_back("e", SERVING, 101.5)
 
 
-def test_the_list_sends_away_once_and_hosts_are_not_its_matter():
+def test_the_list_reports_a_leaving_upstream_once_and_no_hosts():
     book = draining.DrainingUpstreams()
     lines = [
-        hostlist.ListedHost("e", "upstream", GOES),
-        hostlist.ListedHost("h", "host", GOES),
+        hostlist.ListedHost("e", "upstream", LEAVING),
+        hostlist.ListedHost("h", "host", LEAVING),
     ]
     assert book.on_list(lines) == ["e"]
     book.mark("e", True, 100.0)
     assert book.on_list(lines) == []
 
 
-def test_own_work_counts_at_once_and_reports_fade():
+def test_own_requests_count_at_once_and_reports_decay():
     book = routing.LoadBook()
     book.report("e", engine.LoadReport(8, 4, 0.5, age_s=0.0), 100.0)
     assert book.total("e", 100.0) == 12
@@ -207,10 +207,10 @@
     assert book.total("e", 104.0) == pytest.approx(3 + 9 / 2)
 
 
-def test_what_was_slow_once_or_never_measured_is_tried_again():
-    # Callers wait longer than need be when one engine of two gets all
-    # work. The other was slow for a while, or is new; without new work it
-    # is not measured, so an old measurement must lose its weight.
+def test_a_slow_or_unmeasured_upstream_is_tried_again():
+    # An engine that was slow for a while, or is new, gets no requests and so
+    # is not measured; all load then goes to the other one and callers wait
+    # longer than necessary. An old measurement must therefore lose weight.
     book = routing.LoadBook()
     for step in range(100):
         book.learn("slow", 0.9, 0.0, 100.0)
@@ -225,7 +225,7 @@
 
 
 def chosen(waits, zones=None, zone="", key=None, rounds=400):
-    """Return how often each upstream is chosen."""
+    """Return the number of times that each upstream is chosen."""
     router = routing.Router(random.Random(1), zone)
     found = [
         routing.Candidate(upstream(n, (zones or {}).get(n, "")), 0, w)
@@ -236,14 +236,14 @@
     )
 
 
-def test_the_slowest_gets_nothing_and_the_near_one_wins_a_tie():
+def test_the_slowest_gets_nothing_and_the_same_zone_wins_a_tie():
     assert chosen({"a": 0.1, "b": 0.2, "c": 0.3})["c"] == 0
     zones = {"a": "x", "b": "y"}
     assert chosen({"a": 0.1, "b": 0.1}, zones, "y") == {"b": 400}
     assert chosen({"a": 0.1, "b": 0.2}, zones, "y") == {"a": 400}
 
 
-def test_a_prefix_is_a_bonus_and_not_a_rule():
+def test_a_cached_prefix_does_not_outweigh_a_long_wait():
     key = prefix.prefix_of("m", "preamble " * 500)
     home = shards.preferred(key.key, "abcdef")
     even = dict.fromkeys("abcdef", 0.1)
@@ -251,7 +251,7 @@
     assert chosen({**even, home: 0.3}, key=key)[home] == 0
 
 
-def test_subsets_are_balanced_and_steady():
+def test_subsets_are_balanced_and_stable():
     hosts = [f"host-{n}" for n in range(390)]
     engines = [f"engine-{n}" for n in range(600)]
 
@@ -274,27 +274,27 @@
 @pytest.mark.parametrize(
     ("reports", "cleared", "guilty", "apart"),
     [
-        # One crash proves nothing, not even to one alone.
+        # One crash is no proof, not even against a request that was alone.
         ([("a", 0, {P, X})], [], set(), {P, X}),
         ([("a", 0, {P})], [], set(), {P}),
-        # Hosts report the same crash; it stays one.
+        # Two hosts report the same crash, which counts once.
         ([("a", 0, {P, X}), ("a", 1, {P, Y})], [], set(), {P, X, Y}),
-        # Common to two crashes is only the poison; the rest are free.
+        # Only the poison is common to both crashes; the others are cleared.
         ([("a", 0, {P, X}), ("b", 9, {P, Y})], [], {P}, set()),
         ([("a", 0, {P, X}), ("a", 9, {P, Y})], [], {P}, set()),
-        # Two in common: nobody can tell, until one is cleared.
+        # Two requests in common: undecided until one of them is cleared.
         ([("a", 0, {P, X}), ("b", 9, {P, X})], [], set(), {P, X}),
         ([("a", 0, {P, X}), ("b", 9, {P, X})], [(X, 12)], {P}, set()),
-        # Success clears only of the crashes before it.
+        # A success clears a request only of the crashes before it.
         ([("a", 0, {X}), ("b", 9, {X})], [(X, 5)], set(), {X}),
-        # A rack is lost: several others go down with the second.
+        # A rack fails: several other upstreams crash with the second.
         (
             [("a", 0, {X}), ("b", 9, {X}), ("c", 9, {Y}), ("d", 10, set())],
             [],
             set(),
             {X, Y},
         ),
-        # Two poison requests at a time do not let each other off.
+        # Two poison requests at the same time do not clear each other.
         ([("a", 0, {P, X}), ("b", 9, {P}), ("c", 9, {Y})], [], {P}, {Y}),
     ],
 )
@@ -312,7 +312,7 @@
     assert {n for n, s in standing.items() if s is kind.APART} == apart
 
 
-def test_suspicion_and_quarantine_end_with_time_and_wait_for_reports():
+def test_suspicion_and_quarantine_wait_for_reports_and_expire():
     book = poison.PoisonBook(100.0)
     book.report("a", 1000.0, {P, X})
     assert book.verdict(P, 1000.0).at == 1000.0 + poison.SETTLE_S
@@ -338,7 +338,7 @@
     assert permits.ask("e", "three", 30.0, 11.0)
 
 
-def test_a_request_sent_again_keeps_its_fingerprint():
+def test_a_repeated_request_has_the_same_fingerprint():
     one, two = (
         completion.parse(CHAT, body).text
         for body in (
