--- a/tests/hostkit.py
+++ b/tests/hostkit.py
@@ -1,4 +1,4 @@
-"""Engines, slots and routes of one host in memory, for tests."""
+"""In-memory engines, slots and routes of one host, for tests."""
 
 import dataclasses
 
@@ -17,23 +17,23 @@
 
 
 def event(number):
-    """Return the bytes of an event."""
+    """Return the bytes of a server-sent event."""
     return f"id: {number}\ndata: d{number}\n\n".encode()
 
 
 def events(first, last):
-    """Return the bytes of some events, one chunk each."""
+    """Return the events ``first`` to ``last``, one chunk each."""
     return [event(number) for number in range(first, last + 1)]
 
 
 BROKEN = errors.UpstreamBroken("cut", ran=True, step="read", peer="e")
 SILENT = errors.UpstreamTimeout("silent", ran=True, step="read", peer="e")
-UNREACHED = errors.UpstreamTimeout("no way", ran=False, step="connect")
+UNREACHED = errors.UpstreamTimeout("unreachable", ran=False, step="connect")
 FULL = errors.UpstreamRefused("full", status=503, ran=False, step="open")
 
 
 class Answer(engine.MemoryStream):
-    """An answer made of chunks and errors."""
+    """A stream of given chunks and errors."""
 
     def __init__(self, chunks, status=200, headers=STAMP):
         super().__init__(list(chunks))
@@ -43,11 +43,12 @@
 
 
 class ScriptedEngines(engine.MemoryEngine):
-    """Engines that answer as they are told, in order.
+    """Engines that answer requests in order by a script.
 
     Attributes:
-      script: What each request gets: an answer or an error.
-      seen: Engine and request of each.
+      script: Remaining results: an answer, an error, or a function that
+        returns one.
+      seen: Engine name and request of each call.
     """
 
     def __init__(self, script):
@@ -66,7 +67,7 @@
 
 
 class Parties:
-    """One party for all engines."""
+    """Engine clients, of which all plug-ins share one."""
 
     def __init__(self, party):
         self.party = party
@@ -76,7 +77,12 @@
 
 
 class ActiveConfig:
-    """What is in force, as plain attributes."""
+    """The active configuration, as plain attributes.
+
+    Attributes:
+      away: Whether the ledger does not answer.
+      left: Names of upstreams noted as leaving.
+    """
 
     def __init__(self, routes=(), revision=1):
         self.view = routemap.Configuration(revision, tuple(routes))
@@ -92,12 +98,13 @@
 
 
 class Slots:
-    """Gives a slot at the next engine that is not avoided.
+    """Grants a slot at the first engine that the request does not avoid.
 
     Attributes:
-      wants: All that was asked for.
-      ends: Outcomes in order.
-      refusals: Number of coming wants that get none.
+      wants: All slot requests.
+      ends: Outcomes of released slots, in order.
+      refusals: Number of further requests to refuse.
+      revokes: Revocation callbacks of the granted slots.
     """
 
     own_name = "h/host"
@@ -113,7 +120,7 @@
         self.wants.append(want)
         if self.refusals:
             self.refusals -= 1
-            raise errors.NoSlot("no room", 0.25)
+            raise errors.NoSlot("no free slot", 0.25)
         name = next(n for n in self.names if n not in want.avoid)
         upstream = engine.Upstream(
             name, configs.Address("127.0.0.1", 1), "z", "memory"
@@ -126,7 +133,7 @@
 
 
 class CrashReports:
-    """Crashes reported, and what is barred."""
+    """Records reports of crashes; bars requests if ``barring`` is set."""
 
     def __init__(self):
         self.told = []
@@ -159,7 +166,7 @@
 
 
 def work_parts(clock, script, routes=(BATCH_ROUTE,)):
-    """Return the parts that items are run with."""
+    """Return the parts that running an item needs."""
     return itemwork.WorkParts(
         clock,
         Parties(ScriptedEngines(script)),
