--- a/bench/fleet.py
+++ b/bench/fleet.py
@@ -171,7 +171,7 @@
 
     def __init__(self, context: kernel.Context) -> None:
         self.context = context
-        self.loads = routing.LoadBook()
+        self.loads = routing.LoadTracker()
 
     def candidates(
         self, service: settings.Service, without: frozenset[str]
--- a/bench/routing.py
+++ b/bench/routing.py
@@ -73,7 +73,7 @@
             )
             for name in self.upstreams
         }
-        self.books = [routing_module.LoadBook() for _ in range(hosts)]
+        self.books = [routing_module.LoadTracker() for _ in range(hosts)]
         self.routers = [
             routing_module.Router(random.Random(seed * 100 + n))
             for n in range(hosts)
--- a/camphortray/routing.py
+++ b/camphortray/routing.py
@@ -1,6 +1,6 @@
 """Load balancing: chooses the upstream for a request by expected latency."""
 
-__all__ = ["Candidate", "LoadBook", "Router", "subset"]
+__all__ = ["Candidate", "LoadTracker", "Router", "subset"]
 
 from collections.abc import Collection
 from collections.abc import Sequence
@@ -86,7 +86,7 @@
     measured_at: float = -math.inf
 
 
-class LoadBook:
+class LoadTracker:
     """Tracks load and latency of each upstream and predicts its wait.
 
     Attributes:
--- a/camphortray/upstreams.py
+++ b/camphortray/upstreams.py
@@ -75,7 +75,7 @@
         self.backends = context.part(backends.Backends)
         self.tree = context.part(tree.Tree)
         self.members = context.part(membership.Membership)
-        self.loads = routing.LoadBook()
+        self.loads = routing.LoadTracker()
         self.leaving = leaving_module.DrainingUpstreams()
         self.outliers = outlier.Outliers()
         self.down: set[str] = set()
--- a/tests/test_online_decisions.py
+++ b/tests/test_online_decisions.py
@@ -197,7 +197,7 @@
 
 
 def test_own_requests_count_at_once_and_reports_decay():
-    book = routing.LoadBook()
+    book = routing.LoadTracker()
     book.report("e", engine.LoadReport(8, 4, 0.5, age_s=0.0), 100.0)
     assert book.total("e", 100.0) == 12
     book.load("e").own += 3
@@ -211,7 +211,7 @@
     # An engine that was slow for a while, or is new, gets no requests and so
     # is not measured; all load then goes to the other one and callers wait
     # longer than necessary. An old measurement must therefore lose weight.
-    book = routing.LoadBook()
+    book = routing.LoadTracker()
     for step in range(100):
         book.learn("slow", 0.9, 0.0, 100.0)
         book.learn("quick", 0.1, 0.0, 100.0 + step)
