--- a/bench/routing.py
+++ b/bench/routing.py
@@ -148,7 +148,7 @@
             if sequence.produced == 1:
                 waited = now - job.sent_at
                 self.first_token_s.append(waited)
-                book.learn(name, waited, job.total, now)
+                book.record_ttft(name, waited, job.total, now)
             if sequence.done:
                 book.load(name).own -= 1
                 del self.jobs[sequence.id]
--- a/camphortray/routedtry.py
+++ b/camphortray/routedtry.py
@@ -81,7 +81,7 @@
         # send the header at once, others only with the first token.
         now = self.parts.clock.monotonic()
         name, waited_s = self.upstream.name, now - self.begun_at
-        self.parts.upstreams.loads.learn(name, waited_s, self.load, now)
+        self.parts.upstreams.loads.record_ttft(name, waited_s, self.load, now)
         self.parts.signals.first_token(
             self.service.name, name, False, waited_s
         )
--- a/camphortray/routing.py
+++ b/camphortray/routing.py
@@ -123,7 +123,7 @@
         age_s = max(0.0, now - load.reported_at)
         return load.own + load.others * 0.5 ** (age_s / REPORT_HALF_LIFE_S)
 
-    def learn(
+    def record_ttft(
         self, name: str, seconds: float, total: float, now: float
     ) -> None:
         """Record a measured TTFT.
--- a/tests/test_online_decisions.py
+++ b/tests/test_online_decisions.py
@@ -213,8 +213,8 @@
     # longer than necessary. An old measurement must therefore lose weight.
     book = routing.LoadTracker()
     for step in range(100):
-        book.learn("slow", 0.9, 0.0, 100.0)
-        book.learn("quick", 0.1, 0.0, 100.0 + step)
+        book.record_ttft("slow", 0.9, 0.0, 100.0)
+        book.record_ttft("quick", 0.1, 0.0, 100.0 + step)
     waits = [
         [book.wait_s(upstream(n), at) for n in ("slow", "quick", "new")]
         for at in (199.0, 300.0)
