--- a/bench/routing.py
+++ b/bench/routing.py
@@ -217,7 +217,7 @@
         if way == "ring":
             counts.update(routing_module.subset(name, names, engines))
         else:
-            size = routing_module.SUBSET
+            size = routing_module.SUBSET_SIZE
             counts.update(shards.rank(name, engines)[:size])
     return sorted(counts[name] for name in engines)
 
--- a/camphortray/routing.py
+++ b/camphortray/routing.py
@@ -49,7 +49,7 @@
 PREFIX_HALF_CHARS = 2048
 # Upstreams that one host uses in a large fleet. A subset bounds the
 # connections and polls of a host; a smaller one balances load too coarsely.
-SUBSET = 24
+SUBSET_SIZE = 24
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
@@ -222,7 +222,7 @@
     host: str,
     hosts: Collection[str],
     upstreams: Collection[str],
-    size: int = SUBSET,
+    size: int = SUBSET_SIZE,
 ) -> list[str]:
     """Return the upstreams that one host uses; every host computes the same.
 
--- a/tests/test_online_decisions.py
+++ b/tests/test_online_decisions.py
@@ -259,7 +259,7 @@
         return {h: set(routing.subset(h, among, engines)) for h in among}
 
     full = subsets(hosts)
-    assert {len(s) for s in full.values()} == {routing.SUBSET}
+    assert {len(s) for s in full.values()} == {routing.SUBSET_SIZE}
     users = collections.Counter(e for s in full.values() for e in s)
     assert min(users.values()) >= 15 and max(users.values()) <= 16
     less = subsets(hosts[1:])
