--- a/camphortray/active_config.py
+++ b/camphortray/active_config.py
@@ -122,7 +122,7 @@
         )
         self.dialect = held.dialect
         self.links = context.part(peers.Peers)
-        self.view = routemap.NOTHING
+        self.view = routemap.EMPTY_CONFIGURATION
         self.record = ledgers.LedgerRecord("", b"")
         self.routes = routemap.RouteMap(())
         self.access = access.AccessControl(self.view)
--- a/camphortray/routemap.py
+++ b/camphortray/routemap.py
@@ -3,9 +3,9 @@
 __all__ = [
     "CallerLimits",
     "Configuration",
+    "EMPTY_CONFIGURATION",
     "EngineService",
     "Kind",
-    "NOTHING",
     "Route",
     "RouteMap",
     "Target",
@@ -173,7 +173,7 @@
         return frozenset(routed | self.services.keys())
 
 
-NOTHING = Configuration(0)
+EMPTY_CONFIGURATION = Configuration(0)
 
 
 class RouteMap:
--- a/tests/test_access.py
+++ b/tests/test_access.py
@@ -87,7 +87,7 @@
     part.clock = clock
     part.context = types.SimpleNamespace(metrics=metrics.Metrics())
     part.dialect = config_decoder.PlatformDialect()
-    part.view = routemap.NOTHING
+    part.view = routemap.EMPTY_CONFIGURATION
     part.access = access.AccessControl(part.view)
     part.engines = types.SimpleNamespace(set_services=lambda names: None)
     part.listeners, part.engine_listeners = [], []
--- a/tests/test_experiments.py
+++ b/tests/test_experiments.py
@@ -123,7 +123,8 @@
     part = slot_client.SlotClient.__new__(slot_client.SlotClient)
     part.experiments = on
     part.active_config = types.SimpleNamespace(
-        view=routemap.NOTHING, dialect=types.SimpleNamespace(plugin="p")
+        view=routemap.EMPTY_CONFIGURATION,
+        dialect=types.SimpleNamespace(plugin="p"),
     )
     part.members = types.SimpleNamespace(live=lambda role: [])
     return part.upstream(test_engine_registry.ENTRY).max_idle
--- a/tests/test_itemwork.py
+++ b/tests/test_itemwork.py
@@ -145,7 +145,7 @@
     # its jobs before the configuration: it knows no route, and gave the
     # items up at once, although the operator had taken no route away.
     work = work_of([hostkit.Answer(hostkit.events(1, 1))], routes=())
-    work.parts.active_config.view = routemap.NOTHING
+    work.parts.active_config.view = routemap.EMPTY_CONFIGURATION
     task = asyncio.ensure_future(work.run())
     await asyncio.sleep(30.0)
     assert not task.done()
