--- a/bench/routing.py
+++ b/bench/routing.py
@@ -73,7 +73,7 @@
             )
             for name in self.upstreams
         }
-        self.books = [routing_module.LoadBook() for _ in range(hosts)]
+        self.books = [routing_module.LoadTracker() for _ in range(hosts)]
         self.routers = [
             routing_module.Router(random.Random(seed * 100 + n))
             for n in range(hosts)
@@ -148,7 +148,7 @@
             if sequence.produced == 1:
                 waited = now - job.sent_at
                 self.first_token_s.append(waited)
-                book.learn(name, waited, job.total, now)
+                book.record_ttft(name, waited, job.total, now)
             if sequence.done:
                 book.load(name).own -= 1
                 del self.jobs[sequence.id]
@@ -217,7 +217,7 @@
         if way == "ring":
             counts.update(routing_module.subset(name, names, engines))
         else:
-            size = routing_module.SUBSET
+            size = routing_module.SUBSET_SIZE
             counts.update(shards.rank(name, engines)[:size])
     return sorted(counts[name] for name in engines)
 
