--- a/camphortray/item_reconciler.py
+++ b/camphortray/item_reconciler.py
@@ -1,12 +1,12 @@
-"""Runs the open items of one partition until each is listed.
-
-An item is open until it is listed or its job ends, and which items are open
-is read from the book of jobs, not remembered from event to event. However the
-task of an item comes to its end, by a result, by an error that no code
-expects or by a cancellation from elsewhere, the book is asked again, and an
-item that is still open is run again. An owner that went on without such an
-item would leave it lying for as long as it owns the partition: no other host
-runs it, and its job never becomes whole.
+"""Runs the open items of one partition until each has a stored result.
+
+An item is open until its result is stored or its job ends. Which items are
+open is read from the state of the partition rather than tracked by events.
+However the task of an item ends, by a result, an unexpected error or a
+cancellation from elsewhere, the state is read again, and an item that is
+still open is run again. An owner that skipped such an item would leave it
+open for as long as it owns the partition: no other host runs it, and its job
+never completes.
 """
 
 __all__ = ["ItemReconciler"]
@@ -30,62 +30,66 @@
 LOG = logs.logger("jobs")
 Stage = item_stall_detector.Stage
 Key = tuple[str, int]
-Keep = Callable[
+StoreResult = Callable[
     [partition_state.Job, partition_records.Result], Awaitable[None]
 ]
-# Items of one partition that run or wait for a slot at once; the others
-# wait here, the oldest jobs first.
-MAX_RUNNING = 400
-# Pause before an item is run again whose run ended by an error that no code
-# expects, in seconds; doubled up to the second. Such an error may come again
-# at once.
-ERROR_PAUSE_S = 0.2
-MOST_ERROR_PAUSE_S = 5.0
-# The same for an item whose result is larger than a record may be.
-RECORD_PAUSE_S = 30.0
+# Items of one partition that run or wait for a slot at the same time. The
+# others are queued here, those of the oldest jobs first.
+MAX_RUNNING_ITEMS = 400
+# Delay before an item is run again after an unexpected error, in seconds;
+# doubled with each error up to the maximum, as the same error may recur at
+# once.
+FIRST_ERROR_DELAY_S = 0.2
+MAX_ERROR_DELAY_S = 5.0
+# The same for an item whose result is too large to be stored.
+OVERSIZED_RESULT_DELAY_S = 30.0
 
 
 class ItemReconciler:
-    """The open items of one partition, each queued or run.
+    """Keeps each open item of one partition queued or running.
 
     Attributes:
-      jobs: Those of the partition, by id.
-      ending: Jobs whose end may have been kept; their items wait.
-      queued: Items that wait behind others, in order.
-      running: Tasks of the others.
-      works: Items that are run, or wait for it at their engines.
-      early: What has come of items that are not run yet.
-      closed: Whether the partition is given up.
+      jobs: Jobs of the partition, by id.
+      ending: Ids of jobs whose end may have been stored; their items are not
+        run.
+      queued: Keys of the items that wait to be started, in order.
+      running: Tasks of the started items.
+      works: Runs in progress, by the key of the item.
+      early_progress: Progress received for items that have not started yet.
+      stalled: Items found stalled by the last check, with the time of their
+        last activity.
+      executions: Number of item tasks started, for unique execution ids.
+      closed: Whether the partition has been given up.
     """
 
     def __init__(
         self,
         parts: itemwork.WorkParts,
         epoch: int,
-        keep: Keep,
+        store_result: StoreResult,
         ending: Container[str],
     ) -> None:
         self.parts = parts
         self.epoch = epoch
-        self.keep = keep
+        self.store_result = store_result
         self.ending = ending
         self.jobs: dict[str, partition_state.Job] = {}
         self.queued: dict[Key, None] = {}
         self.running: dict[Key, asyncio.Task[None]] = {}
         self.works: dict[Key, itemwork.ItemWork] = {}
-        self.early: dict[Key, itemwork.Progress] = {}
-        self.stuck: dict[Key, float] = {}
-        self.lives = 0
+        self.early_progress: dict[Key, itemwork.Progress] = {}
+        self.stalled: dict[Key, float] = {}
+        self.executions = 0
         self.closed = False
 
     def begin(self, jobs: dict[str, partition_state.Job]) -> None:
-        """Run what is open of some jobs, the oldest first."""
+        """Run the open items of some jobs, those of the oldest job first."""
         self.jobs = jobs
-        for job in sorted(jobs.values(), key=lambda held: held.taken_at):
+        for job in sorted(jobs.values(), key=lambda job: job.taken_at):
             self.take_up(job)
 
     def close(self) -> list[asyncio.Task[None]]:
-        """Stop all work; return the tasks that are ending."""
+        """Cancel all items; return the tasks that are still ending."""
         self.closed = True
         self.queued.clear()
         ending = list(self.running.values())
@@ -93,168 +97,180 @@
             task.cancel()
         return ending
 
-    # Which items are to be run.
+    # Queueing.
 
     def is_open(self, key: Key) -> bool:
-        """Return whether an item is to be run here."""
-        name, place = key
-        job = self.jobs.get(name)
-        if self.closed or job is None or job.ended or name in self.ending:
+        """Return whether an item is still to be run by this owner."""
+        job_id, index = key
+        job = self.jobs.get(job_id)
+        if self.closed or job is None or job.ended or job_id in self.ending:
             return False
-        return place not in job.listed and job.items[place] is not None
+        return index not in job.listed and job.items[index] is not None
 
     def take_up(self, job: partition_state.Job) -> None:
-        """See to it that each open item of a job is queued or run.
+        """Queue each open item of a job that is neither queued nor running.
 
-        It may be called at any time and as often as one likes.
+        It is idempotent and may be called at any time.
         """
         if not job.whole:
-            LOG.error("Job {} lacks items; they are not run.", job.id)
-        for place in job.open_items:
-            key = job.id, place
+            LOG.error(
+                "Job {} is missing items; only those present are run.", job.id
+            )
+        for index in job.open_items:
+            key = job.id, index
             if key not in self.running and self.is_open(key):
                 self.queued.setdefault(key)
-        self.run_more()
+        self.start_queued()
 
-    def run_more(self) -> None:
-        """Begin items while there is room."""
-        while self.queued and len(self.running) < MAX_RUNNING:
+    def start_queued(self) -> None:
+        """Start queued items up to the limit."""
+        while self.queued and len(self.running) < MAX_RUNNING_ITEMS:
             key = next(iter(self.queued))
             del self.queued[key]
             if key in self.running or not self.is_open(key):
                 continue
             task = asyncio.get_running_loop().create_task(self.run(key))
             self.running[key] = task
-            task.add_done_callback(functools.partial(self.ended, key))
+            task.add_done_callback(functools.partial(self.on_task_done, key))
 
-    def ended(self, key: Key, task: "asyncio.Task[None]") -> None:
-        """Take note that a task has ended; its item may still be open."""
+    def on_task_done(self, key: Key, task: "asyncio.Task[None]") -> None:
+        """Queue the item of a finished task again if it is still open."""
         if self.running.get(key) is not task:
-            # The item has been taken from it.
+            # The task was stalled and its item has been given to another.
             return
         del self.running[key]
         self.works.pop(key, None)
         if self.is_open(key):
             self.queued.setdefault(key)
-        self.run_more()
+        self.start_queued()
 
-    def stop_job(self, name: str) -> None:
-        """Stop the items of a job."""
-        for (job, _), task in list(self.running.items()):
-            if job == name:
+    def stop_job(self, job_id: str) -> None:
+        """Cancel the running items of a job."""
+        for (item_job_id, _), task in list(self.running.items()):
+            if item_job_id == job_id:
                 task.cancel()
 
-    # Running one.
+    # Running.
 
     async def run(self, key: Key) -> None:
-        """Run one item until it is listed."""
-        name, place = key
-        job = self.jobs[name]
-        self.lives += 1
-        life = f"{self.epoch}-{self.lives}"
-        work = itemwork.ItemWork(self.parts, job, place, life)
+        """Run one item until its result is stored."""
+        job_id, index = key
+        job = self.jobs[job_id]
+        self.executions += 1
+        execution_id = f"{self.epoch}-{self.executions}"
+        work = itemwork.ItemWork(self.parts, job, index, execution_id)
         self.works[key] = work
-        known = self.early.pop(key, None)
-        if known is not None:
-            work.go_on_from(known)
-        pause_s = ERROR_PAUSE_S
-        # Not beside another task, which has been given the item meanwhile.
+        progress = self.early_progress.pop(key, None)
+        if progress is not None:
+            work.go_on_from(progress)
+        delay_s = FIRST_ERROR_DELAY_S
+        # The second condition ends a stalled task whose item has meanwhile
+        # been given to another task.
         while self.is_open(key) and self.works.get(key) is work:
             try:
                 result = await work.run()
                 work.enter(Stage.WRITE)
-                await self.keep(job, result)
+                await self.store_result(job, result)
                 continue
             except errors.LogError as error:
-                LOG.info("Result of {} is the next owner's: {}", name, error)
+                LOG.info(
+                    "Result of an item of job {} left to the next owner: {}",
+                    job_id,
+                    error,
+                )
                 return
             except asyncio.CancelledError as error:
                 if tasks.cancelled():
                     raise
-                # Something that it waited for was cancelled, not the item.
-                self.failed(work, error)
+                # Something that the item awaited was cancelled, not this
+                # task.
+                self.log_failure(work, error)
             except errors.RecordError as error:
-                # It will not be kept the next time either, but another
-                # engine may make less of it.
-                self.failed(work, error)
-                pause_s = RECORD_PAUSE_S
+                # Storing this result would fail again, but another engine
+                # may return a smaller one.
+                self.log_failure(work, error)
+                delay_s = OVERSIZED_RESULT_DELAY_S
             except Exception as error:
-                self.failed(work, error)
-            work.begin_anew(pause_s)
-            pause_s = max(pause_s, min(2 * pause_s, MOST_ERROR_PAUSE_S))
+                self.log_failure(work, error)
+            work.begin_anew(delay_s)
+            delay_s = max(delay_s, min(2 * delay_s, MAX_ERROR_DELAY_S))
 
-    def failed(self, work: itemwork.ItemWork, error: BaseException) -> None:
-        """Log an error that no code expects."""
-        self.count("error")
+    def log_failure(
+        self, work: itemwork.ItemWork, error: BaseException
+    ) -> None:
+        """Log and count an unexpected error."""
+        self.count_rerun("error")
         LOG.error(
-            "Item {} of {} is run again after an error: {}",
+            "Item {} of job {} is run again after an unexpected error: {}",
             work.item.id,
             work.job.id,
             "".join(traceback.format_exception(error)),
             fields={"stage": work.stage.value, "run": work.number},
         )
 
-    def count(self, why: str) -> None:
-        """Count an item that is run again for no cause of its own."""
+    def count_rerun(self, cause: str) -> None:
+        """Count an item that is run again for a reason other than its own."""
         self.parts.metrics.inc(
             "camphortray_items_taken_up",
-            "Items run again that would have been left lying, by cause.",
-            {"why": why},
+            "Items run again after an unexpected error, a stall or a lost"
+            " task, by cause.",
+            {"why": cause},
         )
 
-    # What is handed over.
+    # Handover.
 
     def progress(self) -> dict[str, list[itemwork.Progress]]:
-        """Return what has come of the items under way, by job."""
+        """Return the partial output of running items, by job."""
         found: dict[str, list[itemwork.Progress]] = {}
-        for (name, _), work in self.works.items():
-            held = work.progress
-            if held is not None and name not in self.ending:
-                found.setdefault(name, []).append(held)
+        for (job_id, _), work in self.works.items():
+            progress = work.progress
+            if progress is not None and job_id not in self.ending:
+                found.setdefault(job_id, []).append(progress)
         return found
 
-    def take_progress(self, name: str, found: itemwork.Progress) -> None:
-        """Go on with an item from where the owner before has got."""
-        key = name, found.place
+    def take_progress(self, job_id: str, progress: itemwork.Progress) -> None:
+        """Resume an item from the partial output of the previous owner."""
+        key = job_id, progress.place
         if not self.is_open(key):
             return
         work = self.works.get(key)
         if work is not None:
-            work.go_on_from(found)
+            work.go_on_from(progress)
         else:
-            self.early[key] = found
+            self.early_progress[key] = progress
 
-    # The watch.
+    # Stall detection.
 
     def stages(self) -> Iterator[item_stall_detector.StageAt]:
-        """Yield what each open item waits for.
+        """Yield the stage of each open item.
 
-        None waits here once the partition is given up: the next owner runs
-        what is open, and this one still stands while its tasks end.
+        Yields nothing once the partition has been given up: this owner may
+        remain registered while its tasks end, but its open items are the
+        next owner's to run.
         """
         if self.closed:
             return
         wall = self.parts.clock.wall()
-        for job, place in self.all_open():
-            item, work = job.items[place], self.works.get((job.id, place))
+        for job, index in self.open_items():
+            item, work = job.items[index], self.works.get((job.id, index))
             yield item_stall_detector.StageAt(
                 job.id,
                 item.id if item is not None else "",
-                self.stage_of((job.id, place)),
+                self.stage_of((job.id, index)),
                 work.stage_at if work is not None else 0.0,
                 work.number if work is not None else 0,
                 round(wall - job.taken_at, 1),
             )
 
-    def all_open(self) -> Iterator[tuple[partition_state.Job, int]]:
-        """Yield all items that are neither listed nor of an ended job."""
+    def open_items(self) -> Iterator[tuple[partition_state.Job, int]]:
+        """Yield each item without a result whose job has not ended."""
         for job in self.jobs.values():
             if len(job.listed) < len(job.items):
-                for place in job.open_items:
-                    yield job, place
+                for index in job.open_items:
+                    yield job, index
 
     def stage_of(self, key: Key) -> Stage:
-        """Return what an open item waits for."""
+        """Return the stage of an open item."""
         work = self.works.get(key)
         if work is not None:
             return work.stage
@@ -265,37 +281,44 @@
         return Stage.LEFT
 
     def look(self) -> None:
-        """Take up what is left, and what a task holds and does not run.
+        """Queue again the open items that have no task or whose task stalls.
 
-        Neither should ever be found. It is the second line: whatever ends
-        an item's task without a line, or lets it wait for what never
-        comes, costs the item seconds and not its life.
+        Neither is expected. This is a safeguard: a fault that ends the task
+        of an item without a log line, or blocks it on something that never
+        happens, delays the item by seconds instead of losing it.
         """
         if self.closed:
             return
-        for job, place in self.all_open():
-            key = job.id, place
+        for job, index in self.open_items():
+            key = job.id, index
             if self.stage_of(key) is Stage.LEFT and self.is_open(key):
-                self.count("left")
-                LOG.error("Item {} of {} was left.", place, job.id)
+                self.count_rerun("left")
+                LOG.error(
+                    "Item at index {} of job {} was open but neither queued"
+                    " nor running; queued again.",
+                    index,
+                    job.id,
+                )
                 self.queued.setdefault(key)
         now = self.parts.clock.monotonic()
-        # Twice in a row: after this host itself stood still for seconds,
-        # all that came meanwhile is read only after this look.
-        before, self.stuck = self.stuck, {}
+        # An item must be stalled in two checks in a row: after this host was
+        # suspended for seconds, the input that arrived meanwhile is read only
+        # after the first check.
+        before, self.stalled = self.stalled, {}
         for key, work in list(self.works.items()):
             if not work.overdue(now):
                 continue
-            self.stuck[key] = work.sign_at
+            self.stalled[key] = work.sign_at
             if before.get(key) == work.sign_at:
-                self.take_from(key, work)
-        self.run_more()
+                self.replace_task(key, work)
+        self.start_queued()
 
-    def take_from(self, key: Key, work: itemwork.ItemWork) -> None:
-        """Take an item from a task that holds it and does not run it."""
-        self.count("stuck")
+    def replace_task(self, key: Key, work: itemwork.ItemWork) -> None:
+        """Cancel the stalled task of an item and queue the item again."""
+        self.count_rerun("stuck")
         LOG.error(
-            "Item {} of {} is stuck and run again.",
+            "Item {} of job {} has stalled; its task is cancelled and the item"
+            " queued again.",
             work.item.id,
             work.job.id,
             fields={
@@ -307,7 +330,7 @@
             },
         )
         task = self.running.pop(key)
-        del self.works[key], self.stuck[key]
+        del self.works[key], self.stalled[key]
         task.cancel()
         work.drop()
         if self.is_open(key):
--- a/tests/test_item_reconciler.py
+++ b/tests/test_item_reconciler.py
@@ -1,4 +1,4 @@
-"""Items and owners that something holds up, and that nothing may end."""
+"""Faults that delay an item or its owner must not end either."""
 
 import asyncio
 
@@ -17,18 +17,18 @@
 
 
 async def owner_of(held, script=(), epoch=1):
-    """Return an owner that has taken its partition over."""
+    """Return an owner whose takeover has completed."""
     return await test_partition_owner.Owned(held, script, epoch).ready()
 
 
 async def listed(owner, job="j1", count=1, within_s=40.0):
-    """Wait until a job has its results."""
+    """Wait for the results of a job and return them."""
     async with asyncio.timeout(within_s):
         return await test_partition_owner.all_results(owner, job, count)
 
 
-async def test_a_head_that_cannot_be_sent_puts_no_engine_aside():
-    # No engine has seen the item, and none is to blame for it.
+async def test_a_request_head_that_cannot_be_sent_ejects_no_engine():
+    # The request never left this host, so it says nothing about an engine.
     owner = await owner_of(ledger.MemoryLedger(), [UNSENDABLE, good()])
     await owner.submit(test_partition_owner.part_of(count=1))
     await listed(owner)
@@ -36,11 +36,12 @@
     await owner.close()
 
 
-@pytest.mark.parametrize("spoilt", [b"1\x00", b"\xe9"])
-async def test_an_event_id_that_cannot_be_sent_back_is_not_believed(spoilt):
-    # An engine's event has a spoilt id and its stream breaks off. To go on
-    # behind it the id goes back as a header, which no client sends.
-    answer = [b"id: " + spoilt + b"\ndata: d1\n\n", hostkit.BROKEN]
+@pytest.mark.parametrize("bad_id", [b"1\x00", b"\xe9"])
+async def test_an_event_id_that_cannot_be_sent_back_is_rejected(bad_id):
+    # An engine sends an event whose id is not valid in a header, and its
+    # stream breaks off. To resume, the id would be sent back in a header,
+    # which the HTTP client refuses to send.
+    answer = [b"id: " + bad_id + b"\ndata: d1\n\n", hostkit.BROKEN]
     owner = await owner_of(
         ledger.MemoryLedger(), [hostkit.Answer(answer), good()]
     )
@@ -53,8 +54,8 @@
 
 
 async def test_a_job_whose_id_has_slashes_is_like_any_other():
-    # Its results could not be read by their keys, which ended the writer of
-    # one owner after the other.
+    # The keys of its results could not be parsed, which ended the writer of
+    # each owner in turn.
     held = ledger.MemoryLedger()
     first = await owner_of(held, [good()])
     await first.submit(test_partition_owner.part_of("a/b", count=1))
@@ -65,7 +66,7 @@
     await second.close()
 
 
-async def test_a_job_whose_id_is_too_long_holds_up_nobody():
+async def test_a_job_whose_id_is_too_long_does_not_delay_others():
     owner = await owner_of(ledger.MemoryLedger(), [good()])
     with pytest.raises(errors.RecordError):
         await owner.submit(test_partition_owner.part_of("x" * 260, count=1))
@@ -74,9 +75,9 @@
     await owner.close()
 
 
-async def test_ids_of_wants_are_not_used_again():
-    # The end of a job is refused and its items begin anew. An end of the
-    # first slot that comes late must not free the second one.
+async def test_ids_of_slot_requests_are_not_reused():
+    # The end of a job is refused and its items are started again. A late
+    # release of the first slot must not free the second one.
     held = ledger.MemoryLedger()
     owner = await owner_of(held)
     owner.parts.slots.refusals = 10**6
@@ -90,10 +91,10 @@
     await owner.close()
 
 
-async def test_a_result_larger_than_a_record_is_listed_whole():
-    # The caller waits for an item whose engine has said more than a record
-    # of the store takes. It is run once, and listed here and by the next
-    # owner; what comes behind it keeps its place.
+async def test_a_result_larger_than_a_record_is_returned_whole():
+    # An engine returns more for an item than one record of the store holds.
+    # The item is run once, its result is the same from this owner and the
+    # next, and the results after it keep their positions.
     held = ledger.MemoryLedger()
     held.record_bytes = 4_000
     huge = hostkit.Answer([b"id: 1\ndata: " + b"x" * 9_000 + b"\n\n"])
@@ -113,10 +114,10 @@
     await second.close()
 
 
-async def test_a_result_too_large_to_be_kept_is_seldom_made():
-    # Its item can never be listed, and is run until its time is over. Such a
-    # text is larger than one message between hosts, by which it is read; one
-    # larger than a record is kept in pieces.
+async def test_a_result_too_large_to_be_stored_is_rarely_recomputed():
+    # Its item is run until its time is over. A text larger than a record is
+    # stored in pieces, but this one exceeds the message between hosts by
+    # which results are read.
     held = ledger.MemoryLedger()
     size = partition_records.TEXT_BYTES + 1
 
@@ -131,7 +132,7 @@
 
 
 class SlowPages(ledger.MemoryLedger):
-    """A listing of many pages, each of them slow."""
+    """A store whose listing has many pages, each of them slow."""
 
     async def newest(self, topic, part=0, on_page=ledger.no_page):
         for _ in range(20):
@@ -145,10 +146,10 @@
     await owner.close()
 
 
-async def test_a_loss_that_cannot_be_told_ends_the_owner_all_the_same():
-    # Another has taken the partition over as a result waits to be kept.
-    # What is told of the loss fails; the result must not be written again
-    # and again without a turn of the loop.
+async def test_a_failing_loss_callback_does_not_keep_the_owner_running():
+    # Another owner has taken the partition over while a result waits to be
+    # stored, and the callback for the loss raises. The write must not be
+    # retried in a loop that never yields to the event loop.
     held = ledger.MemoryLedger()
     owner = await owner_of(held, [good()])
 
@@ -163,7 +164,7 @@
     assert not owner.items.running
 
 
-async def test_a_job_that_lacks_items_is_told_of_and_not_again_and_again(
+async def test_a_job_that_is_missing_items_is_logged_a_few_times_only(
     monkeypatch,
 ):
     held = ledger.MemoryLedger()
@@ -183,10 +184,10 @@
     await owner.close()
 
 
-async def test_an_item_taken_from_a_task_that_does_not_end_is_run_once():
-    # A run's read never returns and swallows its cancellation. The item is
-    # taken from it and run by another task; when the first one comes back
-    # at last it does not run the item beside that.
+async def test_an_item_taken_from_a_stalled_task_is_not_run_by_both():
+    # A read never returns and ignores its cancellation. The item is given to
+    # another task; when the first task finally continues, it must not run
+    # the item as well.
     stuck, back = hostkit.Answer([]), asyncio.Event()
 
     async def read(timeout_s):
