--- a/tests/test_item_reconciler.py
+++ b/tests/test_item_reconciler.py
@@ -36,12 +36,12 @@
     await owner.close()
 
 
-@pytest.mark.parametrize("bad_id", [b"1\x00", b"\xe9"])
-async def test_an_event_id_that_cannot_be_sent_back_is_rejected(bad_id):
+@pytest.mark.parametrize("spoilt", [b"1\x00", b"\xe9"])
+async def test_an_event_id_that_cannot_be_sent_back_is_rejected(spoilt):
     # An engine sends an event whose id is not valid in a header, and its
     # stream breaks off. To resume, the id would be sent back in a header,
     # which the HTTP client refuses to send.
-    answer = [b"id: " + bad_id + b"\ndata: d1\n\n", hostkit.BROKEN]
+    answer = [b"id: " + spoilt + b"\ndata: d1\n\n", hostkit.BROKEN]
     owner = await owner_of(
         ledger.MemoryLedger(), [hostkit.Answer(answer), good()]
     )
