--- a/camphortray/item_reconciler.py
+++ b/camphortray/item_reconciler.py
@@ -162,7 +162,7 @@
         self.works[key] = work
         progress = self.early_progress.pop(key, None)
         if progress is not None:
-            work.go_on_from(progress)
+            work.resume_from(progress)
         delay_s = FIRST_ERROR_DELAY_S
         # The second condition ends a stalled task whose item has meanwhile
         # been given to another task.
@@ -192,7 +192,7 @@
                 delay_s = OVERSIZED_RESULT_DELAY_S
             except Exception as error:
                 self.log_failure(work, error)
-            work.begin_anew(delay_s)
+            work.discard_output(delay_s)
             delay_s = max(delay_s, min(2 * delay_s, MAX_ERROR_DELAY_S))
 
     def log_failure(
@@ -235,7 +235,7 @@
             return
         work = self.works.get(key)
         if work is not None:
-            work.go_on_from(progress)
+            work.resume_from(progress)
         else:
             self.early_progress[key] = progress
 
@@ -306,10 +306,10 @@
         # after the first check.
         before, self.stalled = self.stalled, {}
         for key, work in list(self.works.items()):
-            if not work.overdue(now):
+            if not work.is_stalled(now):
                 continue
-            self.stalled[key] = work.sign_at
-            if before.get(key) == work.sign_at:
+            self.stalled[key] = work.last_progress_at
+            if before.get(key) == work.last_progress_at:
                 self.replace_task(key, work)
         self.start_queued()
 
@@ -324,7 +324,7 @@
             fields={
                 "stage": work.stage.value,
                 "since_s": round(
-                    self.parts.clock.monotonic() - work.sign_at, 1
+                    self.parts.clock.monotonic() - work.last_progress_at, 1
                 ),
                 "run": work.number,
             },
@@ -332,6 +332,6 @@
         task = self.running.pop(key)
         del self.works[key], self.stalled[key]
         task.cancel()
-        work.drop()
+        work.abort()
         if self.is_open(key):
             self.queued.setdefault(key)
--- a/camphortray/itemwork.py
+++ b/camphortray/itemwork.py
@@ -1,4 +1,4 @@
-"""Runs opaque items at engines until each is done or abandoned."""
+"""Runs one opaque item on engines until it is done or abandoned."""
 
 __all__ = ["ItemWork", "Progress", "WorkParts"]
 
@@ -27,32 +27,32 @@
 
 LOG = logs.logger("items")
 Stage = item_stall_detector.Stage
-# Seconds without an event after which a run is taken up elsewhere.
-SILENT_S = 0.5
-# The same before the first event.
-FIRST_SILENT_S = 2.0
-# Seconds from one look for a route that has gone to the next.
-ROUTE_S = 0.5
-# Seconds for which a route must be missing, by a configuration that is
-# fresh, before its items are given up.
-ROUTE_GONE_S = 5.0
-# Seconds to wait for a slot before the route is looked at again: a service
-# that the route has left may never have one.
-REASK_S = 3.0
-# Seconds beyond the longest time that a wait may take, after which the item
-# is taken from whoever waits. A run without an event ends itself after
-# FIRST_SILENT_S and the time for a connection, a wait for a slot after
-# REASK_S, so that this much more is no doubt left.
-STUCK_S = 4.0
+# Seconds without an event after which a run is resumed at another engine.
+EVENT_TIMEOUT_S = 0.5
+# The same before the first event of a run.
+FIRST_EVENT_TIMEOUT_S = 2.0
+# Seconds between lookups of a missing route.
+ROUTE_POLL_INTERVAL_S = 0.5
+# Seconds for which a route must be missing from an up-to-date configuration
+# before its items are abandoned.
+ROUTE_GONE_AFTER_S = 5.0
+# Seconds to wait for a slot before the route is looked up again: the route
+# may have moved, and its former service may never have a free slot.
+SLOT_TIMEOUT_S = 3.0
+# Seconds beyond the limit of a wait after which the item counts as stalled. A
+# run without an event ends itself after FIRST_EVENT_TIMEOUT_S and the time for
+# a connection, a wait for a slot after SLOT_TIMEOUT_S; this margin rules out
+# false alarms.
+STALL_MARGIN_S = 4.0
 
 
 class Revoked(Exception):
-    """The slot was taken back."""
+    """The slot was revoked."""
 
 
 @dataclasses.dataclass(frozen=True)
 class WorkParts:
-    """The parts of the program that items are run with."""
+    """The components that running an item depends on."""
 
     clock: clocks.Clock
     backends: backends.LedgerBackends
@@ -66,11 +66,11 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Progress:
-    """What has come of an item that is not done.
+    """The partial output of an item that is not done.
 
     Attributes:
-      place: Of the item in its job.
-      last: Id of its last whole event.
+      place: Index of the item in its job.
+      last: Id of its last complete event.
       text: Data of its events, one entry each.
     """
 
@@ -80,170 +80,184 @@
 
 
 class ItemWork:
-    """One item of a job, as its owner runs it.
+    """Runs one item of a job for the owner of its partition.
+
+    Times are read from the monotonic clock.
 
     Attributes:
-      life: Unique among all that have run this item.
-      deadline: How much time it has.
-      stage: What it waits for.
-      stage_at: Since when, monotonic.
+      index: Position of the item in its job.
+      execution_id: Unique among all owners and tasks that run this item.
+      deadline: Time limits of the item.
+      stage: What the item waits for.
+      stage_at: When it entered that stage.
+      retries: Failed runs so far, and when and where the next may start.
+      reader: Splits and checks the event stream, across engines.
       text: Data of the events so far.
-      reader: Cuts and checks the stream, over all engines.
-      first_at: When the first event of the present run came, monotonic.
-      last_at: When the last one did.
-      held: Slot of the present run.
+      number: Number of slots requested so far.
+      run_task: Reads the stream of the present run.
+      lease: Slot of the present run.
+      first_event_at: When the first event of the last run arrived, or 0.
+      last_event_at: When its latest event arrived, or 0.
     """
 
     def __init__(
         self,
         parts: WorkParts,
         job: partition_state.Job,
-        place: int,
-        life: str = "",
+        index: int,
+        execution_id: str = "",
     ) -> None:
         self.parts = parts
         self.job = job
-        self.place = place
-        self.life = life
-        item = job.items[place]
+        self.index = index
+        self.execution_id = execution_id
+        item = job.items[index]
         assert item is not None
         self.item = item
         self.deadline = item_deadline.ItemDeadline(parts.clock, job.taken_at)
         self.stage, self.stage_at = Stage.ROUTE, parts.clock.monotonic()
-        self.tries = item_retry.ItemTries()
+        self.retries = item_retry.ItemTries()
         self.reader = eventstream.EventReader()
         self.text: list[bytes] = []
         self.number = 0
         self.run_task: asyncio.Task[None] | None = None
-        self.held: lease_table.HeldLease | None = None
-        self.first_at = self.last_at = 0.0
+        self.lease: lease_table.HeldLease | None = None
+        self.first_event_at = self.last_event_at = 0.0
 
     async def run(self) -> partition_records.Result:
-        """Return how the item ended; however long that takes."""
+        """Run the item until it ends; return its result."""
         while True:
             self.enter(Stage.ROUTE)
             route = await self.route()
             if route is None or self.deadline.is_over(route):
-                return self.abandoned("its time is over")
+                return self.abandoned(
+                    "its route is gone or its retention is over"
+                )
             self.enter(Stage.PAUSE)
             now = self.parts.clock.monotonic()
-            await asyncio.sleep(max(0.0, self.tries.not_before - now))
+            await asyncio.sleep(max(0.0, self.retries.not_before - now))
             self.enter(Stage.SLOT)
             try:
-                async with asyncio.timeout(REASK_S):
-                    held = await self.place_at(route)
+                async with asyncio.timeout(SLOT_TIMEOUT_S):
+                    lease = await self.acquire_slot(route)
             except TimeoutError:
                 continue
             except errors.NoSlot as error:
                 LOG.debug("{}: {}", self.item.id, error)
                 await asyncio.sleep(item_retry.PAUSE_S)
                 continue
-            if not self.still_leads(held):
-                # The operator has moved the route while it waited.
+            if not self.route_matches(lease):
+                # The operator moved the route while the item waited.
                 outcome = enginehealth.Outcome.NOTHING
-                self.parts.slots.release(held, outcome)
+                self.parts.slots.release(lease, outcome)
                 continue
             self.enter(Stage.RUN)
-            result = await self.attempt(route, held)
+            result = await self.attempt(route, lease)
             if result is not None:
                 return result
 
     def enter(self, stage: Stage) -> None:
-        """Take note of what the item waits for now."""
+        """Record the stage that the item enters."""
         self.stage, self.stage_at = stage, self.parts.clock.monotonic()
 
     @property
-    def sign_at(self) -> float:
-        """When there was last a sign that the item gets on, monotonic."""
+    def last_progress_at(self) -> float:
+        """When the item last made progress, monotonic."""
         if self.stage is Stage.PAUSE:
-            return max(self.stage_at, self.tries.not_before)
-        return max(self.stage_at, self.last_at)
+            return max(self.stage_at, self.retries.not_before)
+        return max(self.stage_at, self.last_event_at)
 
-    def overdue(self, now: float) -> bool:
-        """Return whether a wait has taken longer than it ever may.
+    def is_stalled(self, now: float) -> bool:
+        """Return whether the item has waited beyond the limit of its stage.
 
-        An item may wait for a route, and a result for the store, for as
-        long as they are away.
+        The wait for a route, and that of a result for the store, have no
+        limit, as either may be unavailable for any time.
         """
-        longest_s = {
-            Stage.PAUSE: STUCK_S,
-            Stage.SLOT: REASK_S + STUCK_S,
-            Stage.RUN: FIRST_SILENT_S + STUCK_S,
+        limit_s = {
+            Stage.PAUSE: STALL_MARGIN_S,
+            Stage.SLOT: SLOT_TIMEOUT_S + STALL_MARGIN_S,
+            Stage.RUN: FIRST_EVENT_TIMEOUT_S + STALL_MARGIN_S,
         }.get(self.stage)
-        return longest_s is not None and now - self.sign_at > longest_s
+        return limit_s is not None and now - self.last_progress_at > limit_s
 
-    def begin_anew(self, pause_s: float) -> None:
-        """Forget what has come, and run from the beginning after a pause.
+    def discard_output(self, delay_s: float) -> None:
+        """Discard the partial output, so that the next run starts afresh.
 
-        Whatever ended the run by an error that no code expects may lie in
-        what had come of the item, and would end the next one too.
+        The partial output may be what caused the unexpected error of the
+        last run, and would then fail the next one too.
+
+        Args:
+          delay_s: Time before the next run, in seconds.
         """
         self.reader = eventstream.EventReader()
         self.text = []
-        self.tries.not_before = self.parts.clock.monotonic() + pause_s
+        self.retries.not_before = self.parts.clock.monotonic() + delay_s
 
-    def drop(self) -> None:
-        """Stop the run and give its slot back, whatever holds it."""
+    def abort(self) -> None:
+        """Cancel the run and release its slot, even if its task hangs."""
         self.revoke()
-        if self.held is not None:
+        if self.lease is not None:
             outcome = enginehealth.Outcome.NOTHING
-            self.parts.slots.release(self.held, outcome)
+            self.parts.slots.release(self.lease, outcome)
 
     async def route(self) -> routemap.Route | None:
-        """Return the item's route, or None once it has been taken away.
+        """Return the route of the item, or None once it has been removed.
 
-        A host that has only just started, or is out of touch, knows no
-        routes or old ones; an item given up for that would be lost.
+        A host that has just started or has lost contact knows no routes or
+        outdated ones; abandoning the item for that would lose it.
         """
         missing_since: float | None = None
         while True:
-            held = self.parts.active_config
-            found = held.routes.find(self.job.host_name, self.item.target)
-            if found is not None:
-                return found
+            config = self.parts.active_config
+            route = config.routes.find(self.job.host_name, self.item.target)
+            if route is not None:
+                return route
             now = self.parts.clock.monotonic()
-            if held.away or not held.view.revision:
+            if config.away or not config.view.revision:
                 missing_since = None
             elif missing_since is None:
                 missing_since = now
-            elif now - missing_since > ROUTE_GONE_S:
+            elif now - missing_since > ROUTE_GONE_AFTER_S:
                 return None
-            await asyncio.sleep(ROUTE_S)
+            await asyncio.sleep(ROUTE_POLL_INTERVAL_S)
 
-    def still_leads(self, held: lease_table.HeldLease) -> bool:
-        """Return whether the item's route leads to the service of a slot."""
+    def route_matches(self, lease: lease_table.HeldLease) -> bool:
+        """Return whether the route still leads to the service of a slot."""
         route = self.parts.active_config.routes.find(
             self.job.host_name, self.item.target
         )
         return route is not None and (
-            route.service_of(self.item.id) == held.service
+            route.service_of(self.item.id) == lease.service
         )
 
     def abandoned(self, why: str) -> partition_records.Result:
-        """Return the result of an item that is given up."""
+        """Log that the item is abandoned; return its result."""
         LOG.info(
-            "Item {} of {} is abandoned: {}; {} failed, {} broke off.",
+            "Item {} of job {} is abandoned: {}; {} engine failures, last {}"
+            " runs cut off without an event.",
             self.item.id,
             self.job.id,
             why,
-            self.tries.failed,
-            self.tries.breaks,
+            self.retries.failed,
+            self.retries.breaks,
         )
         return partition_records.Result(
-            self.place, partition_records.State.ABANDONED
+            self.index, partition_records.State.ABANDONED
         )
 
-    async def place_at(self, route: routemap.Route) -> lease_table.HeldLease:
-        """Wait for a slot."""
+    async def acquire_slot(
+        self, route: routemap.Route
+    ) -> lease_table.HeldLease:
+        """Wait for a slot at an engine of the route's service."""
         parts = self.parts
         now = parts.clock.monotonic()
         self.number += 1
-        avoid = {self.tries.avoid} - {""}
-        want = slot_scheduler.SlotRequest(
-            # With the life: an owner before, or this one before an end that
-            # was refused, has asked for the same item, and what is still
-            # under way about that is not about this.
-            f"{self.job.id}.{self.place}.{self.life}.{self.number}",
+        avoid = {self.retries.avoid} - {""}
+        request = slot_scheduler.SlotRequest(
+            # The execution id keeps requests apart: a previous owner, or this
+            # one before a refused end of the job, may have asked for the same
+            # item, and late messages about that must not match.
+            f"{self.job.id}.{self.index}.{self.execution_id}.{self.number}",
             parts.slots.own_name,
             False,
             route.priority,
@@ -255,44 +269,44 @@
             start_s=parts.pace.start_s(self.reader.count),
             avoid=frozenset(avoid),
         )
-        # An engine that failed once is avoided once: it may be the last.
-        self.tries.avoid = ""
+        # An engine is avoided for one request only: it may be the only one.
+        self.retries.avoid = ""
         service = route.service_of(self.item.id)
-        return await parts.slots.acquire(service, want, self.revoke)
+        return await parts.slots.acquire(service, request, self.revoke)
 
     @property
     def progress(self) -> Progress | None:
-        """What has come of the item, if another could go on from there."""
+        """The partial output, or None if no run can resume from it."""
         if not self.reader.last:
             return None
-        return Progress(self.place, self.reader.last, tuple(self.text))
+        return Progress(self.index, self.reader.last, tuple(self.text))
 
-    def go_on_from(self, progress: Progress) -> None:
-        """Go on from what the owner before has got, if that is more."""
+    def resume_from(self, progress: Progress) -> None:
+        """Resume from the output of the previous owner if that is longer."""
         if len(progress.text) <= self.reader.count:
             return
         self.reader.go_on_from(progress.last, len(progress.text))
         self.text = list(progress.text)
-        # What runs now is behind; it is taken up anew from there.
+        # The present run is behind; the next one starts from here.
         self.revoke()
 
     def revoke(self) -> None:
-        """Stop the run; what has come of it is kept."""
+        """Cancel the run; its output so far is kept."""
         if self.run_task is not None:
             self.run_task.cancel()
 
     async def attempt(
-        self, route: routemap.Route, held: lease_table.HeldLease
+        self, route: routemap.Route, lease: lease_table.HeldLease
     ) -> partition_records.Result | None:
-        """Run once; return the result if that ended it."""
+        """Run the item once; return its result if that ended it."""
         outcome = enginehealth.Outcome.NOTHING
-        count = self.reader.count
-        self.first_at = self.last_at = 0.0
+        events_before = self.reader.count
+        self.first_event_at = self.last_event_at = 0.0
         task = asyncio.get_running_loop().create_task(
-            self.stream(route, held.upstream)
+            self.stream(route, lease.upstream)
         )
         self.run_task = task
-        self.held = held
+        self.lease = lease
         try:
             await asyncio.wait({task})
             if task.cancelled():
@@ -300,10 +314,11 @@
                     self.parts.metrics, "item", early_end.Cause.REVOKED
                 )
                 LOG.info(
-                    "Item {} of {} gives way at {} after event {!r}.",
+                    "Item {} of job {} was preempted at engine {} after event"
+                    " {!r}.",
                     self.item.id,
                     self.job.id,
-                    held.upstream.name,
+                    lease.upstream.name,
                     self.reader.last,
                     fields={"age_s": round(self.deadline.age_s(), 2)},
                 )
@@ -312,43 +327,45 @@
             outcome = enginehealth.Outcome.GOOD
             self.parts.pace.learn(self.reader.count)
             LOG.info(
-                "Item {} of {} is done at {}, {} events, run {}.",
+                "Item {} of job {} is done at engine {}: {} events, run {}.",
                 self.item.id,
                 self.job.id,
-                held.upstream.name,
+                lease.upstream.name,
                 self.reader.count,
                 self.number,
                 fields={"age_s": round(self.deadline.age_s(), 2)},
             )
             return partition_records.Result(
-                self.place, partition_records.State.DONE, b"\n".join(self.text)
+                self.index, partition_records.State.DONE, b"\n".join(self.text)
             )
         except errors.UpstreamError as error:
             if not self.deadline.ends_runs(route):
                 outcome = enginehealth.outcome_of(error)
-            brought = self.reader.count - count
-            return self.failed(route, held, error, brought)
+            new_events = self.reader.count - events_before
+            return self.failed(route, lease, error, new_events)
         finally:
             task.cancel()
-            self.run_task = self.held = None
-            self.parts.slots.release(held, outcome)
-            brought = self.reader.count - count
-            self.parts.pace.ran(brought, self.last_at - self.first_at)
-            if brought > 0:
-                self.tries.pauses = 0
+            self.run_task = self.lease = None
+            self.parts.slots.release(lease, outcome)
+            new_events = self.reader.count - events_before
+            self.parts.pace.ran(
+                new_events, self.last_event_at - self.first_event_at
+            )
+            if new_events > 0:
+                self.retries.pauses = 0
 
     def failed(
         self,
         route: routemap.Route,
-        held: lease_table.HeldLease,
+        lease: lease_table.HeldLease,
         error: errors.UpstreamError,
-        brought: int,
+        new_events: int,
     ) -> partition_records.Result | None:
-        """Take note of a failed run; return a result if it is the last."""
-        name = held.upstream.name
+        """Record a failed run; return a result if it was the last."""
+        name = lease.upstream.name
         early_end.count(self.parts.metrics, "item", early_end.cause_of(error))
         LOG.info(
-            "Item {} of {} failed at {}: {}",
+            "Item {} of job {} failed at engine {}: {}",
             self.item.id,
             self.job.id,
             name,
@@ -361,30 +378,30 @@
         )
         if isinstance(error, errors.UpstreamRefused) and error.leaving:
             self.parts.active_config.note_leaving(name)
-        fate = item_retry.decide(
-            self.tries,
+        decision = item_retry.decide(
+            self.retries,
             error,
             name,
             self.parts.clock.monotonic(),
             route.max_attempts,
-            brought,
+            new_events,
         )
-        if fate is item_retry.Fate.ABANDON:
+        if decision is item_retry.Fate.ABANDON:
             return self.abandoned(str(error))
         return None
 
     async def stream(
         self, route: routemap.Route, upstream: engine.Upstream
     ) -> None:
-        """Read one stream to its end.
+        """Read one event stream to its end.
 
         Raises:
-          UpstreamError: it is not whole.
+          UpstreamError: the run failed, or its stream is incomplete.
         """
-        party = self.parts.backends.engine(upstream.plugin)
+        plugin = self.parts.backends.engine(upstream.plugin)
         if self.reader.doubted or not self.reader.last:
-            # Nothing to go on from: an engine begins at the first event,
-            # and what came before would stand twice.
+            # There is no event to resume after: the engine starts at the
+            # first one, and keeping the earlier events would repeat them.
             self.reader, self.text = eventstream.EventReader(), []
         self.reader.restart()
         left_s = self.deadline.left_s(route)
@@ -395,15 +412,15 @@
             True,
             left_s,
             batch=True,
-            silence_s=FIRST_SILENT_S,
+            silence_s=FIRST_EVENT_TIMEOUT_S,
             headers=(("host", self.job.host_name), *self.item.headers),
             resume_after=self.reader.last,
             workspace=self.job.workspace,
         )
-        begun_at, made = self.parts.clock.monotonic(), self.reader.count
-        # After a try that brought nothing a kept connection is not trusted.
-        fresh = self.tries.pauses > 0
-        stream = await party.open(upstream, request, fresh)
+        started_at, made = self.parts.clock.monotonic(), self.reader.count
+        # After a run without an event no pooled connection is used.
+        fresh = self.retries.pauses > 0
+        stream = await plugin.open(upstream, request, fresh)
         try:
             if stream.status // 100 != 2:
                 raise errors.UpstreamRefused(
@@ -413,27 +430,27 @@
                     step="run",
                     peer=upstream.name,
                 )
-            limit_s = FIRST_SILENT_S
+            limit_s = FIRST_EVENT_TIMEOUT_S
             while data := await stream.read(limit_s):
-                if limit_s == FIRST_SILENT_S:
-                    waited_s = self.parts.clock.monotonic() - begun_at
+                if limit_s == FIRST_EVENT_TIMEOUT_S:
+                    waited_s = self.parts.clock.monotonic() - started_at
                     self.parts.pace.started(made, waited_s)
-                self.take(data)
-                limit_s = SILENT_S
+                self.feed(data)
+                limit_s = EVENT_TIMEOUT_S
         finally:
             stream.close()
         if self.reader.tail or not self.reader.count:
             raise errors.UpstreamBroken(
-                "ended in the middle of an event",
+                "stream ended before or within an event",
                 ran=True,
                 step="stream",
                 peer=upstream.name,
             )
 
-    def take(self, data: bytes) -> None:
-        """Keep what whole events bring."""
-        whole = self.reader.feed(data)
-        if whole:
-            self.last_at = self.parts.clock.monotonic()
-            self.first_at = self.first_at or self.last_at
-            self.text += [e.data for e in eventstream.events_of(whole)]
+    def feed(self, data: bytes) -> None:
+        """Store the data of complete events."""
+        complete = self.reader.feed(data)
+        if complete:
+            self.last_event_at = self.parts.clock.monotonic()
+            self.first_event_at = self.first_event_at or self.last_event_at
+            self.text += [e.data for e in eventstream.events_of(complete)]
--- a/tests/test_itemwork.py
+++ b/tests/test_itemwork.py
@@ -1,4 +1,4 @@
-"""Items at engines: resumed, moved, given up only when that is right."""
+"""Items at engines: resumed, moved to others, and when abandoned."""
 
 import asyncio
 import dataclasses
@@ -23,7 +23,7 @@
 
 
 def work_of(script, routes=(hostkit.BATCH_ROUTE,), age_s=0.0):
-    """Return an item's work, with engines that follow a script."""
+    """Return the work of an item, with engines that follow a script."""
     clock = clocks.SystemClock()
     parts = hostkit.work_parts(clock, script, routes)
     item = partition_records.Item("i1", "/p/1", (("model", "m"),), b"body", 10)
@@ -32,12 +32,12 @@
 
 
 def text(last):
-    """Return the text of a whole answer."""
+    """Return the text of a complete answer."""
     return b"\n".join(f"d{n}".encode() for n in range(1, last + 1))
 
 
-def asked(work):
-    """Return after which event each request was to go on."""
+def resume_points(work):
+    """Return the event after which each request asked to resume."""
     return [r.resume_after for _, r in work.parts.backends.party.seen]
 
 
@@ -55,9 +55,9 @@
     [hostkit.BROKEN, hostkit.SILENT],
     ids=["broken", "silent"],
 )
-async def test_an_item_goes_on_behind_its_last_whole_event(fault):
-    # An engine breaks off, or falls silent, in the middle of event 3. The
-    # item goes on elsewhere after event 2; its text has each event once.
+async def test_an_item_resumes_after_its_last_complete_event(fault):
+    # An engine breaks off, or stops sending, in the middle of event 3. The
+    # item resumes at another after event 2; its text has each event once.
     torn = hostkit.event(3)[:6]
     work = work_of(
         [
@@ -66,12 +66,12 @@
         ]
     )
     assert (await work.run()).text == text(5)
-    assert asked(work) == ["", "2"]
+    assert resume_points(work) == ["", "2"]
     names = [name for name, _ in work.parts.backends.party.seen]
     assert names[0] != names[1]
 
 
-async def test_an_end_in_the_middle_of_an_event_is_no_end():
+async def test_a_stream_that_ends_in_the_middle_of_an_event_is_incomplete():
     torn = hostkit.event(3)[:6]
     work = work_of(
         [
@@ -82,7 +82,7 @@
     assert (await work.run()).text == text(4)
 
 
-async def test_an_engine_that_goes_on_at_the_wrong_event_is_not_believed():
+async def test_an_engine_that_resumes_at_the_wrong_event_is_rejected():
     work = work_of(
         [
             hostkit.Answer([*hostkit.events(1, 2), hostkit.BROKEN]),
@@ -91,10 +91,10 @@
         ]
     )
     assert (await work.run()).text == text(6)
-    assert asked(work) == ["", "2", "2"]
+    assert resume_points(work) == ["", "2", "2"]
 
 
-async def test_a_slot_taken_back_keeps_what_has_come():
+async def test_the_output_is_kept_when_a_slot_is_revoked():
     work = work_of([])
     party = work.parts.backends.party
 
@@ -111,7 +111,7 @@
     first.read = then_revoked
     party.script = [first, hostkit.Answer(hostkit.events(3, 4))]
     assert (await work.run()).text == text(4)
-    assert asked(work) == ["", "2"]
+    assert resume_points(work) == ["", "2"]
     assert first.closed
 
 
@@ -124,7 +124,7 @@
         ([504, 504, 504, 504, 0], DONE),
     ],
 )
-async def test_when_an_item_is_abandoned(statuses, state):
+async def test_which_failures_abandon_an_item(statuses, state):
     script = [
         hostkit.Answer([b"{}"], status)
         if status
@@ -134,16 +134,16 @@
     assert (await work_of(script).run()).state is state
 
 
-async def test_refusals_as_not_run_never_end_an_item():
+async def test_refusals_that_did_not_run_never_end_an_item():
     script = [hostkit.FULL, hostkit.UNREACHED] * 20
     work = work_of([*script, hostkit.Answer(hostkit.events(1, 1))])
     assert (await work.run()).state is DONE
 
 
-async def test_a_host_without_a_configuration_gives_nothing_up():
-    # All hosts lose power while the store is away. One that starts reads
-    # its jobs before the configuration: it knows no route, and gave the
-    # items up at once, although the operator had taken no route away.
+async def test_a_host_without_a_configuration_abandons_nothing():
+    # All hosts lose power while the store is unavailable. A host that starts
+    # reads its jobs before the configuration, so it knows no route. It
+    # abandoned the items at once although no route had been removed.
     work = work_of([hostkit.Answer(hostkit.events(1, 1))], routes=())
     work.parts.active_config.view = routemap.NOTHING
     task = asyncio.ensure_future(work.run())
@@ -155,7 +155,7 @@
     assert (await task).state is DONE
 
 
-async def test_items_of_a_route_that_was_taken_away_are_given_up():
+async def test_items_of_a_removed_route_are_abandoned():
     work = work_of([], routes=())
     task = asyncio.ensure_future(work.run())
     work.parts.active_config.away = True
@@ -165,7 +165,7 @@
     assert (await task).state is ABANDONED
 
 
-async def test_an_item_past_its_keeping_time_is_given_up_but_not_before():
+async def test_an_item_is_abandoned_after_its_retention_and_not_before():
     work = work_of([], age_s=61.0)
     work.parts.slots.refusals = 10_000
     task = asyncio.ensure_future(work.run())
@@ -175,7 +175,7 @@
     assert (await task).state is ABANDONED
 
 
-async def test_an_engine_that_says_it_leaves_is_passed_on():
+async def test_an_engine_that_says_it_is_leaving_is_reported():
     leaving = errors.UpstreamRefused(
         "leaves", status=503, ran=False, leaving=True
     )
@@ -184,9 +184,9 @@
     assert work.parts.active_config.left == ["e0"]
 
 
-async def test_an_item_whose_route_moved_while_it_waited_goes_elsewhere():
-    # It waited for a slot of one service; meanwhile the operator led the
-    # route to another. Run at the old one it would break the new version.
+async def test_an_item_whose_route_moved_while_it_waited_follows_the_route():
+    # The item waits for a slot of one service while the operator points the
+    # route to another. Run at the old one it would run on the old version.
     moved = dataclasses.replace(
         hostkit.BATCH_ROUTE, targets=(routemap.Target("s2"),)
     )
@@ -205,8 +205,8 @@
     assert len(work.parts.backends.party.seen) == 1
 
 
-async def test_an_item_does_not_wait_for_ever_at_a_service_left():
-    # No engine of the old service is left, so no slot comes.
+async def test_an_item_does_not_wait_forever_for_a_former_service():
+    # The old service has no engine any more, so no slot is granted.
     work = work_of([hostkit.Answer(hostkit.events(1, 1))])
     slots = work.parts.slots
     acquire, asked = slots.acquire, []
@@ -222,9 +222,9 @@
     assert len(asked) == 3
 
 
-async def test_an_item_goes_on_from_what_the_owner_before_has_got():
-    # Its partition changed hands while it ran. The next owner had begun it
-    # anew and hears then how far the last one was.
+async def test_an_item_resumes_from_the_progress_of_the_previous_owner():
+    # Its partition changed owners while it ran. The new owner has restarted
+    # it, and then receives the progress of the previous one.
     slow = hostkit.Answer(hostkit.events(1, 1))
     given = slow.read
 
@@ -237,16 +237,16 @@
     work = work_of([slow, hostkit.Answer(hostkit.events(4, 5))])
     task = asyncio.ensure_future(work.run())
     await asyncio.sleep(0.01)
-    work.go_on_from(itemwork.Progress(0, "3", (b"d1", b"d2", b"d3")))
+    work.resume_from(itemwork.Progress(0, "3", (b"d1", b"d2", b"d3")))
     assert (await task).text == text(5)
-    assert asked(work) == ["", "3"]
+    assert resume_points(work) == ["", "3"]
 
 
-async def test_what_is_behind_changes_nothing():
+async def test_shorter_progress_changes_nothing():
     work = work_of([hostkit.Answer(hostkit.events(1, 3))])
     task = asyncio.ensure_future(work.run())
     assert (await task).text == text(3)
-    work.go_on_from(itemwork.Progress(0, "2", (b"d1", b"d2")))
+    work.resume_from(itemwork.Progress(0, "2", (b"d1", b"d2")))
     assert work.progress == itemwork.Progress(0, "3", (b"d1", b"d2", b"d3"))
 
 
@@ -258,13 +258,13 @@
     ],
     ids=["its time is over", "in its time"],
 )
-async def test_a_run_ended_by_its_own_time_says_nothing_of_its_engine(
+async def test_a_run_ended_by_its_time_limit_says_nothing_about_its_engine(
     age_s, outcome
 ):
-    # Callers saw items left lying while engines stood idle. Runs of an old
-    # job's items were ended by their engines as the time given to them was
-    # over; three of them in a row put an engine aside for seconds and let
-    # it have one request at a time after that, and so with each engine.
+    # Engines end the runs of an old job's items once their time limit has
+    # passed. Counted as failures, three in a row ejected an engine for seconds
+    # and limited it to one request at a time after that, and so one engine
+    # after the other: items waited while engines were idle.
     work = work_of(
         [
             hostkit.Answer([hostkit.event(1), hostkit.BROKEN]),
