--- a/camphortray/item_deadline.py
+++ b/camphortray/item_deadline.py
@@ -1,26 +1,26 @@
-"""How much time an item has, by the age of its job and by its route."""
+"""Time limits of an item, from the age of its job and its route."""
 
-__all__ = ["ItemDeadline", "KEEP_SLACK_S"]
+__all__ = ["ItemDeadline", "RETENTION_SLACK_S"]
 
 import dataclasses
 
 from camphortray import clock as clocks
 from camphortray import routemap
 
-# Seconds beyond the keeping time after which an item is given up: clocks
-# of hosts differ, and too early would be wrong.
-KEEP_SLACK_S = 4.0
-# Seconds before the end of its time from which a run that breaks off may have
-# been ended by its engine for that; the way there and the clocks' pace.
-DEADLINE_SLACK_S = 0.25
+# Seconds beyond the retention period after which an item is abandoned: the
+# clocks of hosts differ, and an item must not be abandoned early.
+RETENTION_SLACK_S = 4.0
+# Seconds before the time limit of a run from which its engine may already have
+# ended it: allows for network latency and clock drift.
+RUN_LIMIT_SLACK_S = 0.25
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class ItemDeadline:
-    """The time of the items of one job.
+    """Time limits of the items of one job.
 
     Attributes:
-      clock: Tells the time of day.
+      clock: Source of the time of day.
       taken_at: When the job was accepted, in seconds since 1970.
     """
 
@@ -32,27 +32,28 @@
         return self.clock.wall() - self.taken_at
 
     def due_s(self, route: routemap.Route) -> float:
-        """Return the seconds until items are due; negative once they were."""
+        """Return the seconds until items are due; negative if overdue."""
         return (route.due_s or route.timeout_s) - self.age_s()
 
-    def is_over(self, route: routemap.Route) -> bool:
-        """Return whether an item may be given up for its age."""
+    def is_expired(self, route: routemap.Route) -> bool:
+        """Return whether the items are old enough to be abandoned."""
         return bool(route.keep_s) and (
-            self.age_s() > route.keep_s + KEEP_SLACK_S
+            self.age_s() > route.keep_s + RETENTION_SLACK_S
         )
 
-    def left_s(self, route: routemap.Route) -> float | None:
-        """Return the seconds that an engine gets for a run; None for any."""
+    def run_limit_s(self, route: routemap.Route) -> float | None:
+        """Return the time limit for a run in seconds, or None for no limit."""
         if not route.keep_s:
             return None
-        return max(1.0, route.keep_s + KEEP_SLACK_S - self.age_s())
+        return max(1.0, route.keep_s + RETENTION_SLACK_S - self.age_s())
 
-    def ends_runs(self, route: routemap.Route) -> bool:
-        """Return whether engines end runs now, as their time is over.
+    def run_limit_reached(self, route: routemap.Route) -> bool:
+        """Return whether engines may be ending runs for their time limit.
 
-        That says nothing of an engine. Held against it, the items of an
-        old job ejected one engine after the other while others waited.
+        A run that ends then is no failure of its engine. Counted as one, the
+        items of an old job ejected one engine after the other while other
+        items waited.
         """
         return bool(route.keep_s) and (
-            self.age_s() > route.keep_s + KEEP_SLACK_S - DEADLINE_SLACK_S
+            self.age_s() > route.keep_s + RETENTION_SLACK_S - RUN_LIMIT_SLACK_S
         )
--- a/camphortray/itemwork.py
+++ b/camphortray/itemwork.py
@@ -129,7 +129,7 @@
         while True:
             self.enter(Stage.ROUTE)
             route = await self.route()
-            if route is None or self.deadline.is_over(route):
+            if route is None or self.deadline.is_expired(route):
                 return self.abandoned(
                     "its route is gone or its retention is over"
                 )
@@ -339,7 +339,7 @@
                 self.index, partition_records.State.DONE, b"\n".join(self.text)
             )
         except errors.UpstreamError as error:
-            if not self.deadline.ends_runs(route):
+            if not self.deadline.run_limit_reached(route):
                 outcome = enginehealth.outcome_of(error)
             new_events = self.reader.count - events_before
             return self.failed(route, lease, error, new_events)
@@ -404,7 +404,7 @@
             # first one, and keeping the earlier events would repeat them.
             self.reader, self.text = eventstream.EventReader(), []
         self.reader.restart()
-        left_s = self.deadline.left_s(route)
+        left_s = self.deadline.run_limit_s(route)
         request = engine.EngineRequest(
             self.item.id,
             self.item.target,
--- a/tests/test_itemwork.py
+++ b/tests/test_itemwork.py
@@ -171,7 +171,7 @@
     task = asyncio.ensure_future(work.run())
     await asyncio.sleep(2.0)
     assert not task.done()
-    await asyncio.sleep(item_deadline.KEEP_SLACK_S)
+    await asyncio.sleep(item_deadline.RETENTION_SLACK_S)
     assert (await task).state is ABANDONED
 
 
