--- a/camphortray/itempolicy.py
+++ b/camphortray/itempolicy.py
@@ -1,4 +1,4 @@
-"""Decides what follows a try of an item that gave no answer."""
+"""Decides what to do with an item after a failed try."""
 
 __all__ = ["Crash", "Decision", "Fail", "Retry", "Unknown", "decide"]
 
@@ -8,26 +8,26 @@
 from camphortray import errors
 from camphortray import jobqueue
 
-# Crashes after which an item is taken for the cause: one in company, one
-# alone on the upstream.
+# Crashes after which an item is taken for their cause: the first among other
+# items, the second alone on the upstream.
 MAX_CRASHES = 2
-# First and longest pause before an item is tried again, in seconds.
-PAUSE_S = 0.2
+# First and longest pause before a retry, in seconds.
+FIRST_PAUSE_S = 0.2
 MAX_PAUSE_S = 10.0
-# Statuses that say that the request itself cannot be served.
-PERMANENT = frozenset({400, 401, 403, 405, 413, 414, 415, 422})
+# Statuses that mean that the request itself cannot be served.
+PERMANENT_STATUSES = frozenset({400, 401, 403, 405, 413, 414, 415, 422})
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Retry:
-    """Try again after a pause, elsewhere if there is a choice."""
+    """Retry after a pause, on another upstream if there is one."""
 
     pause_s: float
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Crash:
-    """Record the crash, then try again apart from others."""
+    """Record the crash, then retry alone on an upstream."""
 
     pause_s: float
 
@@ -58,39 +58,39 @@
     attempts: int,
     rng: random.Random,
 ) -> Decision:
-    """Return what follows a failed try.
+    """Return what to do with an item after a failed try.
 
-    A try that certainly did not run costs nothing but a pause, however
-    often: an outage of all upstreams must not fail a job that is due
-    hours later. Tries that may have run are bounded.
+    A try that certainly did not run is retried without limit: an outage of
+    all upstreams must not fail a job that is due hours later. Tries that may
+    have run are limited in number.
 
     Args:
-      item: With the tries before this one.
-      error: What went wrong.
+      item: The item, with the counts of its earlier tries.
+      error: How the try failed.
       crashed: Whether the upstream crashed.
-      idempotent: Whether the item may run again.
-      attempts: Tries that may have run, at most.
-      rng: For the jitter.
+      idempotent: Whether the item may run more than once.
+      attempts: Maximum number of tries that may have run.
+      rng: Source of the jitter.
     """
     if isinstance(error, errors.UpstreamRefused):
-        if error.status in PERMANENT:
+        if error.status in PERMANENT_STATUSES:
             return Fail(str(error))
         if error.status == 404 and item.tries + 1 < attempts:
-            return Retry(pause(item.tries, rng))
+            return Retry(retry_pause_s(item.tries, rng))
     if not error.ran:
-        return Retry(pause(item.refusals, rng))
+        return Retry(retry_pause_s(item.refusals, rng))
     if not idempotent:
         return Unknown(str(error))
     if crashed:
         if item.crashes + 1 >= MAX_CRASHES:
             return Fail(f"crashed {MAX_CRASHES} upstreams: {error}")
-        return Crash(pause(item.crashes, rng))
+        return Crash(retry_pause_s(item.crashes, rng))
     if item.tries + 1 >= attempts:
         return Fail(f"failed {attempts} times: {error}")
-    return Retry(pause(item.tries, rng))
+    return Retry(retry_pause_s(item.tries, rng))
 
 
-def pause(failures: int, rng: random.Random) -> float:
-    """Return a pause that doubles, with jitter, in seconds."""
-    longest = min(MAX_PAUSE_S, PAUSE_S * 2 ** min(failures, 10))
-    return longest * (0.5 + rng.random() / 2)
+def retry_pause_s(failures: int, rng: random.Random) -> float:
+    """Return an exponentially growing pause with jitter, in seconds."""
+    longest_s = min(MAX_PAUSE_S, FIRST_PAUSE_S * 2 ** min(failures, 10))
+    return longest_s * (0.5 + rng.random() / 2)
