--- a/camphortray/item_gauges.py
+++ b/camphortray/item_gauges.py
@@ -57,7 +57,7 @@
                     owner.epoch,
                     now - owner.begun_at,
                 )
-        found = item_stall_detector.Look(
+        found = item_stall_detector.StageSummary(
             item for owner in ready for item in owner.items.stages()
         )
         metrics = self.metrics
@@ -74,7 +74,7 @@
             {},
             late,
         )
-        for item in found.left:
+        for item in found.unassigned:
             if (item.job, item.item) not in self.left:
                 LOG.error(
                     "Item {} of {} is left: open, neither queued nor run.",
@@ -82,4 +82,4 @@
                     item.job,
                     fields={"age_s": item.age_s, "run": item.run},
                 )
-        self.left = {(item.job, item.item) for item in found.left}
+        self.left = {(item.job, item.item) for item in found.unassigned}
--- a/camphortray/item_reconciler.py
+++ b/camphortray/item_reconciler.py
@@ -241,7 +241,7 @@
 
     # Stall detection.
 
-    def stages(self) -> Iterator[item_stall_detector.StageAt]:
+    def stages(self) -> Iterator[item_stall_detector.ItemStage]:
         """Yield the stage of each open item.
 
         Yields nothing once the partition has been given up: this owner may
@@ -253,7 +253,7 @@
         wall = self.parts.clock.wall()
         for job, index in self.open_items():
             item, work = job.items[index], self.works.get((job.id, index))
-            yield item_stall_detector.StageAt(
+            yield item_stall_detector.ItemStage(
                 job.id,
                 item.id if item is not None else "",
                 self.stage_of((job.id, index)),
@@ -278,7 +278,7 @@
             return Stage.ENDING
         if key in self.queued or key in self.running:
             return Stage.QUEUED
-        return Stage.LEFT
+        return Stage.UNASSIGNED
 
     def look(self) -> None:
         """Queue again the open items that have no task or whose task stalls.
@@ -291,7 +291,7 @@
             return
         for job, index in self.open_items():
             key = job.id, index
-            if self.stage_of(key) is Stage.LEFT and self.is_open(key):
+            if self.stage_of(key) is Stage.UNASSIGNED and self.is_open(key):
                 self.count_rerun("left")
                 LOG.error(
                     "Item at index {} of job {} was open but neither queued"
--- a/camphortray/item_stall_detector.py
+++ b/camphortray/item_stall_detector.py
@@ -1,11 +1,11 @@
-"""Finds what each open item of a partition waits for, and which for nothing.
+"""Stages of the open items of a partition.
 
-An accepted item is open until it is listed. Its owner can say at any moment
-what stands between the two; an item that waits for nothing is left lying, and
-no other host will see to it as long as this one owns its partition.
+An accepted item is open until its result is stored. Its owner knows at any
+time which stage the item is in. An unassigned item is neither queued nor
+running, and no other host runs it while this one owns the partition.
 """
 
-__all__ = ["Look", "Stage", "StageAt"]
+__all__ = ["ItemStage", "Stage", "StageSummary"]
 
 import collections
 from collections.abc import Iterable
@@ -23,20 +23,20 @@
     RUN = "run"
     WRITE = "write"
     ENDING = "ending"
-    LEFT = "left"
+    UNASSIGNED = "left"
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class StageAt:
-    """An open item and what it waits for.
+class ItemStage:
+    """An open item and its stage.
 
     Attributes:
-      job: Id of its job.
-      item: Its own id.
-      stage: What it waits for.
-      since: From when on, on the monotonic clock.
-      run: Number of its last run with this owner, 0 for none.
-      age_s: Seconds since its job was accepted.
+      job: Id of the job.
+      item: Id of the item.
+      stage: What the item waits for.
+      since: When it entered that stage, monotonic; 0 if it has not started.
+      run: Number of its last run by this owner, 0 for none.
+      age_s: Seconds since the job was accepted.
     """
 
     job: str
@@ -47,15 +47,17 @@
     age_s: float = 0.0
 
 
-class Look:
-    """One look at the open items of some partitions.
+class StageSummary:
+    """The open items of some partitions at one moment.
 
     Attributes:
-      counts: Items by stage.
-      left: Those that wait for nothing.
+      counts: Number of items by stage.
+      unassigned: Items that are neither queued nor running.
     """
 
-    def __init__(self, items: Iterable[StageAt]) -> None:
-        held = list(items)
-        self.counts = collections.Counter(item.stage for item in held)
-        self.left = [item for item in held if item.stage is Stage.LEFT]
+    def __init__(self, items: Iterable[ItemStage]) -> None:
+        all_items = list(items)
+        self.counts = collections.Counter(item.stage for item in all_items)
+        self.unassigned = [
+            item for item in all_items if item.stage is Stage.UNASSIGNED
+        ]
--- a/tests/test_item_stall_detector.py
+++ b/tests/test_item_stall_detector.py
@@ -1,4 +1,4 @@
-"""What an owner tells of its open items."""
+"""The stages that an owner reports of its open items."""
 
 import asyncio
 
@@ -14,24 +14,24 @@
 
 
 async def stages(owner):
-    """Return how many items wait for what, a moment later."""
+    """Return the number of items by stage, a moment later."""
     await asyncio.sleep(0.01)
-    return dict(item_stall_detector.Look(owner.items.stages()).counts)
+    return dict(item_stall_detector.StageSummary(owner.items.stages()).counts)
 
 
 async def hang(timeout_s):
-    """Stand in for a read that brings nothing."""
+    """Never return; a read without data."""
     await asyncio.Event().wait()
 
 
 def silent():
-    """Return an answer that brings nothing, without an end."""
+    """Return an answer that brings no data and never ends."""
     answer = hostkit.Answer([])
     answer.read = hang
     return answer
 
 
-async def test_items_are_told_by_what_they_wait_for():
+async def test_items_are_counted_by_stage():
     owned = test_partition_owner.Owned(
         ledger.MemoryLedger(), [silent() for _ in "ab"]
     )
@@ -48,7 +48,7 @@
     await owner.close()
 
 
-async def test_a_result_that_waits_for_the_store_is_told_as_written():
+async def test_an_item_whose_result_waits_for_the_store_is_in_write():
     owned = test_partition_owner.Owned(
         ledger.MemoryLedger(), [test_partition_owner.good()]
     )
@@ -62,11 +62,11 @@
     await owner.close()
 
 
-async def test_a_partition_that_is_given_up_leaves_nothing_lying():
-    # Found by the soak: the log of a host that drains said of accepted items
-    # that they are left lying. Its owner had stopped and dropped its queue,
-    # and was still among those held while its tasks came to their end; the
-    # watch looked in that moment. They are the next owner's to run.
+async def test_a_partition_that_is_given_up_reports_no_items():
+    # Found by the soak: a draining host logged accepted items as unassigned.
+    # Its owner had stopped and cleared its queue but stayed registered while
+    # its tasks ended, and the gauges were updated in that moment. The next
+    # owner runs these items.
     owned = test_partition_owner.Owned(
         ledger.MemoryLedger(), [silent() for _ in "ab"]
     )
