--- a/camphortray/item_gauges.py
+++ b/camphortray/item_gauges.py
@@ -1,4 +1,4 @@
-"""Shows operators what the open items of this host's partitions wait for."""
+"""Reports the stages of the open items in this host's partitions."""
 
 __all__ = ["ItemGauges"]
 
@@ -10,10 +10,10 @@
 from camphortray import partition_owner
 
 LOG = logs.logger("jobs")
-# Seconds from one look at the open items to the next, and after which a
-# partition that has not been taken over yet is logged. A takeover takes
-# some tens of milliseconds, and a second or two where the store is slow.
-LOOK_EVERY_S = 1.0
+# Seconds between updates of the metrics.
+UPDATE_INTERVAL_S = 1.0
+# Seconds after which an unfinished takeover of a partition is logged. It takes
+# some tens of milliseconds, or a second or two where the store is slow.
 LATE_TAKEOVER_S = 5.0
 
 
@@ -21,8 +21,9 @@
     """Metrics and log lines on open items and late takeovers.
 
     Attributes:
-      owners: Partitions owned here, by number.
-      left: Items logged as left.
+      owners: Owners of the partitions owned here, by partition.
+      logged: Unassigned items of the last update, already logged, as pairs
+        of job id and item id.
     """
 
     def __init__(
@@ -33,16 +34,16 @@
         self.clock = context.clock
         self.metrics = context.metrics
         self.owners = owners
-        self.left: set[tuple[str, str]] = set()
+        self.logged: set[tuple[str, str]] = set()
 
     async def run(self) -> None:
-        """Show what open items wait for, for ever."""
+        """Update the metrics periodically, forever."""
         while True:
-            await asyncio.sleep(LOOK_EVERY_S)
-            self.look()
+            await asyncio.sleep(UPDATE_INTERVAL_S)
+            self.update()
 
-    def look(self) -> None:
-        """Count open items by what they wait for; log those left."""
+    def update(self) -> None:
+        """Update the metrics; log unassigned items and late takeovers."""
         now = self.clock.monotonic()
         ready, late = [], 0
         for owner in self.owners.values():
@@ -51,35 +52,35 @@
             elif now - owner.begun_at > LATE_TAKEOVER_S:
                 late += 1
                 LOG.warning(
-                    "Partition {} in epoch {} is not taken over after"
-                    " {:.1f} s.",
+                    "Takeover of partition {} in epoch {} has not finished"
+                    " after {:.1f} s.",
                     owner.part,
                     owner.epoch,
                     now - owner.begun_at,
                 )
-        found = item_stall_detector.StageSummary(
+        summary = item_stall_detector.StageSummary(
             item for owner in ready for item in owner.items.stages()
         )
         metrics = self.metrics
         for stage in item_stall_detector.Stage:
             metrics.set(
                 "camphortray_items_open",
-                "Accepted items that are not listed, by what they wait for.",
+                "Accepted items without a stored result, by stage.",
                 {"stage": stage.value},
-                found.counts[stage],
+                summary.counts[stage],
             )
         metrics.set(
             "camphortray_partitions_late",
-            "Partitions dealt to this host and not taken over in time.",
+            "Partitions assigned to this host whose takeover is late.",
             {},
             late,
         )
-        for item in found.unassigned:
-            if (item.job, item.item) not in self.left:
+        for item in summary.unassigned:
+            if (item.job, item.item) not in self.logged:
                 LOG.error(
-                    "Item {} of {} is left: open, neither queued nor run.",
+                    "Item {} of job {} is open but not queued or running.",
                     item.item,
                     item.job,
                     fields={"age_s": item.age_s, "run": item.run},
                 )
-        self.left = {(item.job, item.item) for item in found.unassigned}
+        self.logged = {(item.job, item.item) for item in summary.unassigned}
