--- a/camphortray/backlog_gossip.py
+++ b/camphortray/backlog_gossip.py
@@ -1,4 +1,4 @@
-"""Publishes how much waits, and keeps routes within their limits."""
+"""Publishes the waiting tokens of routes and enforces their limits."""
 
 __all__ = ["BacklogGossip"]
 
@@ -19,20 +19,24 @@
 from camphortray import tasks
 
 LOG = logs.logger("jobs")
-WAITING = "job-waiting"
-FACT_KEEP_S = 600.0
-# Seconds from one count of waiting tokens to the next.
-COUNT_EVERY_S = 0.25
-# Time for the keeper of a route's reservations to answer, in seconds.
-QUOTA_S = 0.3
+# Kind of the facts that hold the counts.
+WAITING_FACT = "job-waiting"
+FACT_TTL_S = 600.0
+# Seconds between counts of waiting tokens.
+COUNT_INTERVAL_S = 0.25
+# Time for the host that keeps the reservations of a route to answer, in
+# seconds.
+QUOTA_TIMEOUT_S = 0.3
 
 
 class BacklogGossip:
-    """Tokens that wait, by route, over the partitions of all hosts.
+    """Waiting tokens by route, over the partitions of all hosts.
 
     Attributes:
-      owners: Partitions owned here, by number.
-      due: Whether something has changed since the last count was published.
+      owners: Owners of the partitions owned here, by partition.
+      quota: Counts of all partitions, and reservations kept here.
+      due: Whether jobs have changed since the last count.
+      published: Counts last published here, by partition.
     """
 
     def __init__(
@@ -51,21 +55,21 @@
         self.task: asyncio.Task[None] | None = None
 
     def start(self) -> None:
-        """Begin to publish and to answer."""
+        """Start publishing counts and answering quota requests."""
         self.links.on(jobmessages.QuotaAsk, self.on_quota)
-        self.members.on_fact(WAITING, self.on_waiting)
+        self.members.on_fact(WAITING_FACT, self.on_waiting)
         work = tasks.forever("count of waiting tokens", self.publish_counts)
         self.task = asyncio.get_running_loop().create_task(work)
 
     def stop(self) -> None:
-        """Publish nothing more."""
+        """Stop publishing counts."""
         if self.task is not None:
             self.task.cancel()
 
     async def publish_counts(self) -> None:
-        """Publish how much waits in the partitions owned here."""
+        """Publish changed counts of the partitions owned here, forever."""
         while True:
-            await asyncio.sleep(COUNT_EVERY_S)
+            await asyncio.sleep(COUNT_INTERVAL_S)
             if not self.due:
                 continue
             self.due = False
@@ -76,14 +80,14 @@
                 ):
                     self.published[part] = counts
                     self.members.publish(
-                        WAITING,
+                        WAITING_FACT,
                         f"{part}/{self.members.own_name}",
                         [owner.epoch, counts],
-                        FACT_KEEP_S,
+                        FACT_TTL_S,
                     )
 
     def count(self, owner: partition_owner.PartitionOwner) -> dict[str, int]:
-        """Return the waiting tokens of a partition by route."""
+        """Return the waiting tokens of a partition, by route."""
         counts: dict[str, int] = {}
         for job in owner.book.jobs.values():
             route = self.active_config.routes.find(job.host_name, job.target)
@@ -93,7 +97,7 @@
         return counts
 
     def on_waiting(self, fact: membership.Fact) -> None:
-        """Take an owner's count."""
+        """Record the counts published by the owner of a partition."""
         epoch, counts = fact.value
         part = int(fact.key.partition("/")[0])
         self.quota.on_counts(part, int(epoch), dict(counts))
@@ -101,11 +105,11 @@
     async def on_quota(
         self, sender: peers.Sender, ask: jobmessages.QuotaAsk
     ) -> jobmessages.QuotaReply:
-        """Answer an owner that asks for room."""
+        """Answer an owner that asks for a reservation."""
         return jobmessages.QuotaReply(self.reserve(ask))
 
     def reserve(self, ask: jobmessages.QuotaAsk) -> bool:
-        """Reserve room for a job on its route."""
+        """Reserve waiting tokens for a job; return whether they fit."""
         for part, owner in self.owners.items():
             if owner.ready.is_set():
                 self.quota.on_counts(part, owner.epoch, self.count(owner))
@@ -113,7 +117,10 @@
         return self.quota.ask(ask.route, ask.job, ask.tokens, ask.limit, now)
 
     async def has_room(self, part: partition_records.JobPart) -> bool:
-        """Return whether a job fits into what may wait on its route."""
+        """Reserve tokens for a job; return whether its route has room.
+
+        A job without a route, or on a route without a limit, always fits.
+        """
         route = self.active_config.routes.find(part.host_name, part.target)
         if route is None or not route.waiting_limit:
             return True
@@ -123,14 +130,14 @@
         )
         names = {m.name: m for m in self.members.live("host")}
         # One host keeps the reservations of a route, so that owners that
-        # accept at the same moment do not both take the last room.
-        keeper = shards.preferred(f"quota/{route.name}", names)
-        if keeper is None or keeper == self.members.own_name:
+        # accept jobs at the same time do not exceed its limit together.
+        quota_host = shards.preferred(f"quota/{route.name}", names)
+        if quota_host is None or quota_host == self.members.own_name:
             return self.reserve(ask)
-        address = configs.Address.from_text(names[keeper].peer_address)
+        address = configs.Address.from_text(names[quota_host].peer_address)
         try:
-            reply = await self.links.ask(address, ask, QUOTA_S)
+            reply = await self.links.ask(address, ask, QUOTA_TIMEOUT_S)
         except errors.MessageError as error:
-            LOG.info("No answer on room, counted here: {}", error)
+            LOG.info("Quota request failed; reserved locally: {}", error)
             return self.reserve(ask)
         return bool(reply.granted)
