--- a/camphortray/jobquota.py
+++ b/camphortray/jobquota.py
@@ -1,19 +1,19 @@
-"""How many tokens may wait on a route over all hosts."""
+"""Limits the tokens that wait on a route over all hosts."""
 
 __all__ = ["QuotaBook"]
 
-# A reservation stands for this long, until the owner's own count shows the
-# job, in seconds. Counts are told four times a second and spread within two
-# tenths; both together count a job twice for what is left of it.
-RESERVED_S = 1.0
+# Lifetime of a reservation, in seconds: long enough for the count of the job's
+# owner to include the job. Counts are published four times a second and spread
+# within 0.2 s; from then until the reservation expires, the job counts twice.
+RESERVATION_TTL_S = 1.0
 
 
 class QuotaBook:
-    """Counts of all partitions and what has just been given out.
+    """Waiting tokens of all partitions, and recent reservations.
 
     Attributes:
-      counts: Waiting tokens by route, by partition, as their owners tell.
-      reserved: Tokens by job and until when, by route.
+      counts: Epoch of the owner and waiting tokens by route, by partition.
+      reserved: Tokens and time of expiry by job, by route.
     """
 
     def __init__(self) -> None:
@@ -21,28 +21,32 @@
         self.reserved: dict[str, dict[str, tuple[int, float]]] = {}
 
     def on_counts(self, part: int, epoch: int, counts: dict[str, int]) -> None:
-        """Take an owner's count; one of an older epoch is void."""
-        held = self.counts.get(part, (0, {}))
-        if epoch >= held[0]:
+        """Record the counts of an owner unless its epoch is outdated."""
+        known = self.counts.get(part, (0, {}))
+        if epoch >= known[0]:
             self.counts[part] = epoch, counts
 
     def waiting(self, route: str, now: float) -> int:
-        """Return the tokens that wait on a route."""
-        held = self.reserved.get(route, {})
-        for job in [j for j, (_, until) in held.items() if until <= now]:
-            del held[job]
-        told = sum(c.get(route, 0) for _, c in self.counts.values())
-        return told + sum(tokens for tokens, _ in held.values())
+        """Return the tokens that wait on a route or are reserved there."""
+        reserved = self.reserved.get(route, {})
+        for job in [j for j, (_, until) in reserved.items() if until <= now]:
+            del reserved[job]
+        counted = sum(c.get(route, 0) for _, c in self.counts.values())
+        return counted + sum(tokens for tokens, _ in reserved.values())
 
     def ask(
         self, route: str, job: str, tokens: int, limit: int, now: float
     ) -> bool:
-        """Reserve room for a job; return whether there is any."""
-        held = self.reserved.setdefault(route, {})
-        before = held.pop(job, None)
+        """Reserve tokens for a job; return whether they fit the limit.
+
+        A job that already holds a reservation always fits; its reservation
+        is renewed if there is room.
+        """
+        reserved = self.reserved.setdefault(route, {})
+        previous = reserved.pop(job, None)
         if limit and self.waiting(route, now) + tokens > limit:
-            if before is not None:
-                held[job] = before
-            return before is not None
-        held[job] = tokens, now + RESERVED_S
+            if previous is not None:
+                reserved[job] = previous
+            return previous is not None
+        reserved[job] = tokens, now + RESERVATION_TTL_S
         return True
