--- a/tests/test_faultmatrix.py
+++ b/tests/test_faultmatrix.py
@@ -1,4 +1,4 @@
-"""Jobs under every fault and a seeded choice of pairs.
+"""Jobs under each single fault and a seeded sample of pairs of faults.
 
 ``python -m bench.faultmatrix`` runs all pairs.
 """
@@ -16,29 +16,32 @@
 from tests import jobcluster
 
 SINGLES = [(name,) for name in faultcells.FAULTS]
-CHOSEN = random.Random(5).sample(faultcells.PAIRS, 6)
-# Cells run at a time. They run on the real clock: five at once take three
-# quarters of a core, and with a third of one (two busy processes beside them)
-# jobs did not end in time.
-AT_ONCE = 2
+SAMPLED_PAIRS = random.Random(5).sample(faultcells.PAIRS, 6)
+# Cells that run at the same time. They use the real clock: five at once need
+# three quarters of a core, and with a third of a core, beside two busy
+# processes, jobs did not end in time.
+MAX_CONCURRENT_CELLS = 2
 
 
 @pytest.fixture(autouse=True)
-def hurry(monkeypatch):
+def shorten_timers(monkeypatch):
     jobcluster.hurry(monkeypatch)
 
 
 @pytest.mark.parametrize(
-    "cells", [SINGLES[:7], SINGLES[7:], CHOSEN], ids=["first", "rest", "pairs"]
+    "cells",
+    [SINGLES[:7], SINGLES[7:], SAMPLED_PAIRS],
+    ids=["first", "rest", "pairs"],
 )
-async def test_no_cell_shows_a_fault(cells):
+async def test_jobs_stay_correct_under_faults(cells):
     # Callers send, resend, cancel and read jobs while the log, engines
-    # and hosts fail. Whatever happens in which order, each accepted item
-    # has one result that never changes, and nothing ran against its word.
-    gate = asyncio.Semaphore(AT_ONCE)
+    # and hosts fail. In any order of events, each accepted item must have one
+    # result that never changes. No refused job may run, no cancelled job may
+    # get another result, and no non-idempotent item may run twice.
+    semaphore = asyncio.Semaphore(MAX_CONCURRENT_CELLS)
 
     async def run(names):
-        async with gate:
+        async with semaphore:
             return await faultcells.run_cell(names)
 
     found = await asyncio.gather(*(run(names) for names in cells))
@@ -46,7 +49,7 @@
 
 
 async def send_at_once(self, held, item):
-    """Do not write that a non-idempotent item starts."""
+    """Start a non-idempotent item without recording that."""
     return True
 
 
@@ -69,7 +72,7 @@
         ),
     ],
 )
-async def test_a_safeguard_switched_off_is_seen(
+async def test_disabling_a_safeguard_is_detected(
     monkeypatch, names, owner, name, off, seen
 ):
     monkeypatch.setattr(owner, name, off)
@@ -103,7 +106,7 @@
         ([[line(0)], [line(0)]], [], {"cancel": True}, None),
     ],
 )
-def test_the_checker_finds_each_fault(reads, sent, more, fault):
+def test_the_checker_detects_each_violation(reads, sent, more, fault):
     seen = history.History()
     seen.accepted("j", [jobcluster.item("q", tokens=3)] * 2, False)
     seen.refused.add("r")
