--- a/tests/test_faultmatrix.py
+++ b/tests/test_faultmatrix.py
@@ -33,7 +33,7 @@
     [SINGLES[:7], SINGLES[7:], SAMPLED_PAIRS],
     ids=["first", "rest", "pairs"],
 )
-async def test_jobs_stay_correct_under_faults(cells):
+async def test_no_cell_shows_a_fault(cells):
     # Callers send, resend, cancel and read jobs while the log, engines
     # and hosts fail. In any order of events, each accepted item must have one
     # result that never changes. No refused job may run, no cancelled job may
--- a/tests/test_itemwork.py
+++ b/tests/test_itemwork.py
@@ -55,7 +55,7 @@
     [hostkit.BROKEN, hostkit.SILENT],
     ids=["broken", "silent"],
 )
-async def test_an_item_resumes_after_its_last_complete_event(fault):
+async def test_an_item_goes_on_behind_its_last_whole_event(fault):
     # An engine breaks off, or stops sending, in the middle of event 3. The
     # item resumes at another after event 2; its text has each event once.
     torn = hostkit.event(3)[:6]
@@ -140,7 +140,7 @@
     assert (await work.run()).state is DONE
 
 
-async def test_a_host_without_a_configuration_abandons_nothing():
+async def test_a_host_without_a_configuration_gives_nothing_up():
     # All hosts lose power while the store is unavailable. A host that starts
     # reads its jobs before the configuration, so it knows no route. It
     # abandoned the items at once although no route had been removed.
@@ -184,7 +184,7 @@
     assert work.parts.active_config.left == ["e0"]
 
 
-async def test_an_item_whose_route_moved_while_it_waited_follows_the_route():
+async def test_an_item_whose_route_moved_while_it_waited_goes_elsewhere():
     # The item waits for a slot of one service while the operator points the
     # route to another. Run at the old one it would run on the old version.
     moved = dataclasses.replace(
