--- a/camphortray/backlog_gossip.py
+++ b/camphortray/backlog_gossip.py
@@ -49,7 +49,7 @@
         self.links = context.part(peers.Peers)
         self.active_config = context.part(active_config.ActiveConfig)
         self.owners = owners
-        self.quota = jobquota.QuotaBook()
+        self.quota = jobquota.QuotaTracker()
         self.due = False
         self.published: dict[int, dict[str, int]] = {}
         self.task: asyncio.Task[None] | None = None
@@ -100,7 +100,7 @@
         """Record the counts published by the owner of a partition."""
         epoch, counts = fact.value
         part = int(fact.key.partition("/")[0])
-        self.quota.on_counts(part, int(epoch), dict(counts))
+        self.quota.update_counts(part, int(epoch), dict(counts))
 
     async def on_quota(
         self, sender: peers.Sender, ask: jobmessages.QuotaAsk
@@ -112,9 +112,11 @@
         """Reserve waiting tokens for a job; return whether they fit."""
         for part, owner in self.owners.items():
             if owner.ready.is_set():
-                self.quota.on_counts(part, owner.epoch, self.count(owner))
+                self.quota.update_counts(part, owner.epoch, self.count(owner))
         now = self.clock.monotonic()
-        return self.quota.ask(ask.route, ask.job, ask.tokens, ask.limit, now)
+        return self.quota.reserve(
+            ask.route, ask.job, ask.tokens, ask.limit, now
+        )
 
     async def has_room(self, part: partition_records.JobPart) -> bool:
         """Reserve tokens for a job; return whether its route has room.
--- a/camphortray/jobquota.py
+++ b/camphortray/jobquota.py
@@ -1,6 +1,6 @@
 """Limits the tokens that wait on a route over all hosts."""
 
-__all__ = ["QuotaBook"]
+__all__ = ["QuotaTracker"]
 
 # Lifetime of a reservation, in seconds: long enough for the count of the job's
 # owner to include the job. Counts are published four times a second and spread
@@ -8,7 +8,7 @@
 RESERVATION_TTL_S = 1.0
 
 
-class QuotaBook:
+class QuotaTracker:
     """Waiting tokens of all partitions, and recent reservations.
 
     Attributes:
@@ -20,7 +20,9 @@
         self.counts: dict[int, tuple[int, dict[str, int]]] = {}
         self.reserved: dict[str, dict[str, tuple[int, float]]] = {}
 
-    def on_counts(self, part: int, epoch: int, counts: dict[str, int]) -> None:
+    def update_counts(
+        self, part: int, epoch: int, counts: dict[str, int]
+    ) -> None:
         """Record the counts of an owner unless its epoch is outdated."""
         known = self.counts.get(part, (0, {}))
         if epoch >= known[0]:
@@ -34,7 +36,7 @@
         counted = sum(c.get(route, 0) for _, c in self.counts.values())
         return counted + sum(tokens for tokens, _ in reserved.values())
 
-    def ask(
+    def reserve(
         self, route: str, job: str, tokens: int, limit: int, now: float
     ) -> bool:
         """Reserve tokens for a job; return whether they fit the limit.
--- a/tests/test_partition_state.py
+++ b/tests/test_partition_state.py
@@ -172,25 +172,25 @@
 
 def test_two_owners_that_accept_at_once_do_not_both_take_the_last_room():
     # Their counts spread some tenths of a second later.
-    book = jobquota.QuotaBook()
-    book.on_counts(0, 1, {"r": 700})
-    assert book.ask("r", "a", 250, 1000, 0.0)
-    assert not book.ask("r", "b", 250, 1000, 0.1)
-    assert book.ask("r", "a", 250, 1000, 0.1)
-    book.on_counts(1, 1, {"r": 250})
-    assert not book.ask("r", "b", 250, 1000, 3.0)
-    book.on_counts(0, 1, {"r": 300})
-    assert book.ask("r", "b", 250, 1000, 3.1)
+    book = jobquota.QuotaTracker()
+    book.update_counts(0, 1, {"r": 700})
+    assert book.reserve("r", "a", 250, 1000, 0.0)
+    assert not book.reserve("r", "b", 250, 1000, 0.1)
+    assert book.reserve("r", "a", 250, 1000, 0.1)
+    book.update_counts(1, 1, {"r": 250})
+    assert not book.reserve("r", "b", 250, 1000, 3.0)
+    book.update_counts(0, 1, {"r": 300})
+    assert book.reserve("r", "b", 250, 1000, 3.1)
 
 
 def test_the_count_of_an_owner_before_is_void():
-    book = jobquota.QuotaBook()
-    book.on_counts(0, 5, {"r": 100})
-    book.on_counts(0, 4, {"r": 900})
+    book = jobquota.QuotaTracker()
+    book.update_counts(0, 5, {"r": 100})
+    book.update_counts(0, 4, {"r": 900})
     assert book.waiting("r", 0.0) == 100
 
 
 def test_no_limit_is_no_refusal():
-    book = jobquota.QuotaBook()
-    book.on_counts(0, 1, {"r": 10**9})
-    assert book.ask("r", "a", 10**9, 0, 0.0)
+    book = jobquota.QuotaTracker()
+    book.update_counts(0, 1, {"r": 10**9})
+    assert book.reserve("r", "a", 10**9, 0, 0.0)
