--- a/camphortray/item_retry.py
+++ b/camphortray/item_retry.py
@@ -1,6 +1,6 @@
 """Decides on retries of opaque items and estimates how long they take."""
 
-__all__ = ["Pace", "RetryDecision", "RetryState", "decide"]
+__all__ = ["DurationEstimator", "RetryDecision", "RetryState", "decide"]
 
 import dataclasses
 import enum
@@ -127,7 +127,7 @@
         self.count = self.count * weight + count
 
 
-class Pace:
+class DurationEstimator:
     """Estimates how long items take, from measurements.
 
     Attributes:
--- a/camphortray/itemwork.py
+++ b/camphortray/itemwork.py
@@ -58,7 +58,7 @@
     backends: backends.LedgerBackends
     active_config: active_config.ActiveConfig
     slots: slot_client.SlotClient
-    pace: item_retry.Pace
+    estimator: item_retry.DurationEstimator
     metrics: metrics_module.Metrics = dataclasses.field(
         default_factory=metrics_module.Metrics
     )
@@ -264,9 +264,9 @@
             now,
             route.objective_s,
             due_at=now + self.deadline.due_s(route),
-            work_s=parts.pace.left_s(self.reader.count),
-            made_s=parts.pace.made_s(self.reader.count),
-            start_s=parts.pace.start_s(self.reader.count),
+            work_s=parts.estimator.left_s(self.reader.count),
+            made_s=parts.estimator.made_s(self.reader.count),
+            start_s=parts.estimator.start_s(self.reader.count),
             avoid=frozenset(avoid),
         )
         # An engine is avoided for one request only: it may be the only one.
@@ -325,7 +325,7 @@
                 return None
             task.result()
             outcome = enginehealth.Outcome.GOOD
-            self.parts.pace.learn(self.reader.count)
+            self.parts.estimator.learn(self.reader.count)
             LOG.info(
                 "Item {} of job {} is done at engine {}: {} events, run {}.",
                 self.item.id,
@@ -348,7 +348,7 @@
             self.run_task = self.lease = None
             self.parts.slots.release(lease, outcome)
             new_events = self.reader.count - events_before
-            self.parts.pace.ran(
+            self.parts.estimator.ran(
                 new_events, self.last_event_at - self.first_event_at
             )
             if new_events > 0:
@@ -434,7 +434,7 @@
             while data := await stream.read(limit_s):
                 if limit_s == FIRST_EVENT_TIMEOUT_S:
                     waited_s = self.parts.clock.monotonic() - started_at
-                    self.parts.pace.started(made, waited_s)
+                    self.parts.estimator.started(made, waited_s)
                 self.feed(data)
                 limit_s = EVENT_TIMEOUT_S
         finally:
--- a/camphortray/partition_manager.py
+++ b/camphortray/partition_manager.py
@@ -75,7 +75,7 @@
             parties,
             context.part(active_config.ActiveConfig),
             context.part(slot_client.SlotClient),
-            item_retry.Pace(),
+            item_retry.DurationEstimator(),
             context.metrics,
         )
         self.member = f"{context.config.host.name}.{context.incarnation}"
--- a/tests/hostkit.py
+++ b/tests/hostkit.py
@@ -165,7 +165,7 @@
         Parties(ScriptedEngines(script)),
         ActiveConfig(routes),
         Slots(),
-        item_retry.Pace(),
+        item_retry.DurationEstimator(),
     )
 
 
--- a/tests/itemrig.py
+++ b/tests/itemrig.py
@@ -110,7 +110,7 @@
         return super().find(host_name, target)
 
 
-class RigPace(item_retry.Pace):
+class RigEstimator(item_retry.DurationEstimator):
     """Learns how long items take, unless that breaks."""
 
     def __init__(self, broken: breakrig.Break) -> None:
@@ -144,7 +144,7 @@
         hostkit.Parties(RigEngine(broken)),
         active_config,
         slots,
-        RigPace(broken),
+        RigEstimator(broken),
     )
 
 
--- a/tests/test_item_retry.py
+++ b/tests/test_item_retry.py
@@ -75,52 +75,52 @@
 
 
 def test_the_time_left_for_an_item_is_estimated():
-    pace = item_retry.Pace()
+    estimator = item_retry.DurationEstimator()
     for _ in range(100):
-        pace.learn(100)
-        pace.ran(100, 1.0)
-    assert pace.left_s(0) == pytest.approx(1.0, rel=0.1)
-    assert pace.left_s(50) == pytest.approx(0.5, rel=0.1)
+        estimator.learn(100)
+        estimator.ran(100, 1.0)
+    assert estimator.left_s(0) == pytest.approx(1.0, rel=0.1)
+    assert estimator.left_s(50) == pytest.approx(0.5, rel=0.1)
     # An item that is longer than the mean still needs some time.
-    assert pace.left_s(500) > 0
+    assert estimator.left_s(500) > 0
 
 
 def test_the_time_to_start_grows_with_the_events_already_made():
     # An engine that resumes an item processes its earlier output first. How
     # long that takes is estimated from runs, by the events made before them.
-    pace = item_retry.Pace()
+    estimator = item_retry.DurationEstimator()
     for _ in range(100):
-        pace.started(0, 0.03)
-        pace.started(200, 0.07)
-    assert pace.start_s(0) == pytest.approx(0.03, abs=0.001)
-    assert pace.start_s(200) == pytest.approx(0.07, abs=0.002)
-    assert pace.start_s(100) == pytest.approx(0.05, abs=0.002)
+        estimator.started(0, 0.03)
+        estimator.started(200, 0.07)
+    assert estimator.start_s(0) == pytest.approx(0.03, abs=0.001)
+    assert estimator.start_s(200) == pytest.approx(0.07, abs=0.002)
+    assert estimator.start_s(100) == pytest.approx(0.05, abs=0.002)
 
 
 def test_a_fast_start_of_a_resumed_item_leaves_the_estimate():
-    pace = item_retry.Pace()
-    pace.started(100, 0.001)
-    assert pace.start_s(100) == item_retry.INITIAL_START_S
+    estimator = item_retry.DurationEstimator()
+    estimator.started(100, 0.001)
+    assert estimator.start_s(100) == item_retry.INITIAL_START_S
 
 
 def test_runs_that_were_stopped_at_once_do_not_raise_the_estimate():
     # On a host that has just started, each item is preempted after a few
     # events in a burst. The estimate must stay at four seconds an item;
     # otherwise they are queued behind all others as too late.
-    pace = item_retry.Pace()
+    estimator = item_retry.DurationEstimator()
     for _ in range(30):
-        pace.started(0, 0.25)
-        pace.ran(1, 0.0)
-        pace.started(1, 0.3)
-        pace.ran(3, 0.09)
-    assert pace.left_s(0) == pytest.approx(4.0, rel=0.1)
-    assert pace.start_s(200) < 1.0
+        estimator.started(0, 0.25)
+        estimator.ran(1, 0.0)
+        estimator.started(1, 0.3)
+        estimator.ran(3, 0.09)
+    assert estimator.left_s(0) == pytest.approx(4.0, rel=0.1)
+    assert estimator.start_s(200) < 1.0
 
 
 def test_the_estimate_follows_engines_that_become_slower():
-    pace = item_retry.Pace()
+    estimator = item_retry.DurationEstimator()
     for _ in range(10):
-        pace.ran(200, 200 * 0.04)
-        pace.learn(200)
-    assert pace.left_s(0) == pytest.approx(8.0, rel=0.2)
-    assert pace.made_s(100) == pytest.approx(4.0, rel=0.2)
+        estimator.ran(200, 200 * 0.04)
+        estimator.learn(200)
+    assert estimator.left_s(0) == pytest.approx(8.0, rel=0.2)
+    assert estimator.made_s(100) == pytest.approx(4.0, rel=0.2)
