--- a/camphortray/handover.py
+++ b/camphortray/handover.py
@@ -100,7 +100,7 @@
         if owner is None:
             return
         for found in update.items:
-            owner.items.take_progress(update.job, found)
+            owner.items.resume_item(update.job, found)
 
 
 def groups(
--- a/camphortray/item_reconciler.py
+++ b/camphortray/item_reconciler.py
@@ -86,7 +86,7 @@
         """Run the open items of some jobs, those of the oldest job first."""
         self.jobs = jobs
         for job in sorted(jobs.values(), key=lambda job: job.taken_at):
-            self.take_up(job)
+            self.queue_open_items(job)
 
     def close(self) -> list[asyncio.Task[None]]:
         """Cancel all items; return the tasks that are still ending."""
@@ -107,7 +107,7 @@
             return False
         return index not in job.listed and job.items[index] is not None
 
-    def take_up(self, job: partition_state.Job) -> None:
+    def queue_open_items(self, job: partition_state.Job) -> None:
         """Queue each open item of a job that is neither queued nor running.
 
         It is idempotent and may be called at any time.
@@ -228,7 +228,7 @@
                 found.setdefault(job_id, []).append(progress)
         return found
 
-    def take_progress(self, job_id: str, progress: itemwork.Progress) -> None:
+    def resume_item(self, job_id: str, progress: itemwork.Progress) -> None:
         """Resume an item from the partial output of the previous owner."""
         key = job_id, progress.place
         if not self.is_open(key):
@@ -280,7 +280,7 @@
             return Stage.QUEUED
         return Stage.UNASSIGNED
 
-    def look(self) -> None:
+    def restart_stalled(self) -> None:
         """Queue again the open items that have no task or whose task stalls.
 
         Neither is expected. This is a safeguard: a fault that ends the task
--- a/camphortray/partition_owner.py
+++ b/camphortray/partition_owner.py
@@ -109,7 +109,7 @@
         forget_at = self.parts.clock.monotonic() + FORGET_EVERY_S
         while not self.lost:
             await asyncio.sleep(LOOK_EVERY_S)
-            self.items.look()
+            self.items.restart_stalled()
             if self.parts.clock.monotonic() >= forget_at:
                 forget_at += FORGET_EVERY_S
                 await self.forget_old()
@@ -264,7 +264,7 @@
             elif job is not None:
                 # Also where whoever sent it has got an error that it is not
                 # known what became of it.
-                self.items.take_up(job)
+                self.items.queue_open_items(job)
             event = self.news.pop(name, None)
             if event is not None:
                 event.set()
@@ -393,7 +393,7 @@
         del self.ending[name]
         job = self.book.jobs.get(name)
         if job is not None:
-            self.items.take_up(job)
+            self.items.queue_open_items(job)
 
     async def confirm(self) -> None:
         """Make sure that no other has taken over; errors as ``append``."""
--- a/tests/itemrig.py
+++ b/tests/itemrig.py
@@ -192,7 +192,7 @@
         """Let the owner hear how far the one before got."""
         text = tuple(b"d%d" % n for n in range(1, count + 1))
         found = itemwork.Progress(0, str(count), text)
-        self.owner.items.take_progress("j1", found)
+        self.owner.items.resume_item("j1", found)
 
     def change(self) -> None:
         """Let the partition change hands now."""
