--- a/camphortray/backlog_gossip.py
+++ b/camphortray/backlog_gossip.py
@@ -35,7 +35,7 @@
     Attributes:
       owners: Owners of the partitions owned here, by partition.
       quota: Counts of all partitions, and reservations kept here.
-      due: Whether jobs have changed since the last count.
+      counts_changed: Whether jobs have changed since the last count.
       published: Counts last published here, by partition.
     """
 
@@ -50,7 +50,7 @@
         self.active_config = context.part(active_config.ActiveConfig)
         self.owners = owners
         self.quota = jobquota.QuotaTracker()
-        self.due = False
+        self.counts_changed = False
         self.published: dict[int, dict[str, int]] = {}
         self.task: asyncio.Task[None] | None = None
 
@@ -70,9 +70,9 @@
         """Publish changed counts of the partitions owned here, forever."""
         while True:
             await asyncio.sleep(COUNT_INTERVAL_S)
-            if not self.due:
+            if not self.counts_changed:
                 continue
-            self.due = False
+            self.counts_changed = False
             for part, owner in list(self.owners.items()):
                 counts = self.count(owner)
                 if owner.ready.is_set() and (
--- a/camphortray/partition_manager.py
+++ b/camphortray/partition_manager.py
@@ -323,7 +323,7 @@
 
     def on_change(self, part: int) -> None:
         """Publish that a partition has been taken over."""
-        self.waiting.due = True
+        self.waiting.counts_changed = True
         owner = self.held.get(part)
         if owner is None or not owner.ready.is_set():
             return
