--- a/camphortray/item_gauges.py
+++ b/camphortray/item_gauges.py
@@ -18,7 +18,7 @@
 
 
 class ItemGauges:
-    """Metrics and log lines on open items and late takeovers.
+    """Updates metrics and logs about open items and late takeovers.
 
     Attributes:
       owners: Owners of the partitions owned here, by partition.
--- a/camphortray/itemwork.py
+++ b/camphortray/itemwork.py
@@ -93,7 +93,7 @@
       retries: Failed runs so far, and when and where the next may start.
       reader: Splits and checks the event stream, across engines.
       text: Data of the events so far.
-      number: Number of slots requested so far.
+      number: Number of slot requests so far, and of the present run.
       run_task: Reads the stream of the present run.
       lease: Slot of the present run.
       first_event_at: When the first event of the last run arrived, or 0.
@@ -162,7 +162,7 @@
 
     @property
     def last_progress_at(self) -> float:
-        """When the item last made progress, monotonic."""
+        """When the item last made progress, or when its pause ends."""
         if self.stage is Stage.PAUSE:
             return max(self.stage_at, self.retries.not_before)
         return max(self.stage_at, self.last_event_at)
@@ -203,8 +203,8 @@
     async def route(self) -> routemap.Route | None:
         """Return the route of the item, or None once it has been removed.
 
-        A host that has just started or has lost contact knows no routes or
-        outdated ones; abandoning the item for that would lose it.
+        A host that has just started, or cannot reach the store, knows no
+        routes or outdated ones; abandoning the item for that would lose it.
         """
         missing_since: float | None = None
         while True:
@@ -314,8 +314,8 @@
                     self.parts.metrics, "item", early_end.Cause.REVOKED
                 )
                 LOG.info(
-                    "Item {} of job {} was preempted at engine {} after event"
-                    " {!r}.",
+                    "Run of item {} of job {} at engine {} was cancelled after"
+                    " event {!r}.",
                     self.item.id,
                     self.job.id,
                     lease.upstream.name,
