--- a/tests/test_item_reconciler.py
+++ b/tests/test_item_reconciler.py
@@ -16,9 +16,9 @@
 UNSENDABLE = errors.UpstreamUnsendable("bad head", ran=False, step="send")
 
 
-async def owner_of(held, script=(), epoch=1):
+async def owner_of(store, script=(), epoch=1):
     """Return an owner whose takeover has completed."""
-    return await test_partition_owner.Owned(held, script, epoch).ready()
+    return await test_partition_owner.Owned(store, script, epoch).ready()
 
 
 async def listed(owner, job="j1", count=1, within_s=40.0):
@@ -56,12 +56,12 @@
 async def test_a_job_whose_id_has_slashes_is_like_any_other():
     # The keys of its results could not be parsed, which ended the writer of
     # each owner in turn.
-    held = ledger.MemoryLedger()
-    first = await owner_of(held, [good()])
+    store = ledger.MemoryLedger()
+    first = await owner_of(store, [good()])
     await first.submit(test_partition_owner.part_of("a/b", count=1))
     before = await listed(first, "a/b")
     await first.close()
-    second = await owner_of(held, [], epoch=2)
+    second = await owner_of(store, [], epoch=2)
     assert await listed(second, "a/b") == before
     await second.close()
 
@@ -78,11 +78,11 @@
 async def test_ids_of_slot_requests_are_not_reused():
     # The end of a job is refused and its items are started again. A late
     # release of the first slot must not free the second one.
-    held = ledger.MemoryLedger()
-    owner = await owner_of(held)
+    store = ledger.MemoryLedger()
+    owner = await owner_of(store)
     owner.parts.slots.refusals = 10**6
     await owner.submit(test_partition_owner.part_of(count=1))
-    held.refuse = 10**6
+    store.refuse = 10**6
     with pytest.raises(errors.LogRefused):
         await owner.end("j1")
     await asyncio.sleep(1.0)
@@ -95,17 +95,17 @@
     # An engine returns more for an item than one record of the store holds.
     # The item is run once, its result is the same from this owner and the
     # next, and the results after it keep their positions.
-    held = ledger.MemoryLedger()
-    held.record_bytes = 4_000
+    store = ledger.MemoryLedger()
+    store.record_bytes = 4_000
     huge = hostkit.Answer([b"id: 1\ndata: " + b"x" * 9_000 + b"\n\n"])
-    owner = await owner_of(held, [huge, good()])
+    owner = await owner_of(store, [huge, good()])
     await owner.submit(test_partition_owner.part_of(count=2))
     found = await listed(owner, count=2)
     texts = {b"x" * 9_000, b"d1\nd2"}
     assert {result.text for result in found} == texts
     assert len(owner.parts.backends.party.seen) == 2
     await owner.close()
-    second = await owner_of(held, epoch=2)
+    second = await owner_of(store, epoch=2)
     assert await listed(second, count=2) == found
     job = second.book.jobs["j1"]
     assert not job.open_items
@@ -118,13 +118,13 @@
     # Its item is run until its time is over. A text larger than a record is
     # stored in pieces, but this one exceeds the message between hosts by
     # which results are read.
-    held = ledger.MemoryLedger()
+    store = ledger.MemoryLedger()
     size = partition_records.TEXT_BYTES + 1
 
     def large():
         return hostkit.Answer([b"id: 1\ndata: " + b"x" * size + b"\n\n"])
 
-    owner = await owner_of(held, [large] * 100)
+    owner = await owner_of(store, [large] * 100)
     await owner.submit(test_partition_owner.part_of(count=1))
     await asyncio.sleep(50.0)
     assert len(owner.parts.backends.party.seen) < 5
@@ -150,15 +150,15 @@
     # Another owner has taken the partition over while a result waits to be
     # stored, and the callback for the loss raises. The write must not be
     # retried in a loop that never yields to the event loop.
-    held = ledger.MemoryLedger()
-    owner = await owner_of(held, [good()])
+    store = ledger.MemoryLedger()
+    owner = await owner_of(store, [good()])
 
     def on_lost(gone):
         raise ValueError("no address")
 
     owner.on_lost = on_lost
     await owner.submit(test_partition_owner.part_of(count=1))
-    await held.set_epoch(ledger.Topic.JOBS, 0, 2)
+    await store.set_epoch(ledger.Topic.JOBS, 0, 2)
     await asyncio.sleep(3.0)
     assert owner.lost
     assert not owner.items.running
@@ -167,8 +167,8 @@
 async def test_a_job_that_is_missing_items_is_logged_a_few_times_only(
     monkeypatch,
 ):
-    held = ledger.MemoryLedger()
-    first = await owner_of(held)
+    store = ledger.MemoryLedger()
+    first = await owner_of(store)
     records = partition_records.accept_records(
         test_partition_owner.part_of(count=8), 900
     )
@@ -178,7 +178,7 @@
     monkeypatch.setattr(
         item_reconciler.LOG, "error", lambda *text, **more: lines.append(text)
     )
-    owner = await owner_of(held, [good() for _ in range(8)], epoch=2)
+    owner = await owner_of(store, [good() for _ in range(8)], epoch=2)
     await asyncio.sleep(60.0)
     assert 0 < len(lines) < 20
     await owner.close()
--- a/tests/test_itemwork.py
+++ b/tests/test_itemwork.py
@@ -103,10 +103,12 @@
         await asyncio.sleep(1)
 
     first = hostkit.Answer(hostkit.events(1, 2))
-    given = first.read
+    original_read = first.read
 
     async def then_revoked(timeout_s):
-        return await (given(timeout_s) if first.chunks else read(timeout_s))
+        return await (
+            original_read(timeout_s) if first.chunks else read(timeout_s)
+        )
 
     first.read = then_revoked
     party.script = [first, hostkit.Answer(hostkit.events(3, 4))]
@@ -149,9 +151,9 @@
     task = asyncio.ensure_future(work.run())
     await asyncio.sleep(30.0)
     assert not task.done()
-    held = work.parts.active_config
-    held.view = routemap.Configuration(1)
-    held.routes = routemap.RouteMap([hostkit.BATCH_ROUTE])
+    config = work.parts.active_config
+    config.view = routemap.Configuration(1)
+    config.routes = routemap.RouteMap([hostkit.BATCH_ROUTE])
     assert (await task).state is DONE
 
 
@@ -195,8 +197,8 @@
     acquire = slots.acquire
 
     async def late(service, want, on_revoke=None):
-        held = work.parts.active_config
-        held.routes = routemap.RouteMap([moved])
+        config = work.parts.active_config
+        config.routes = routemap.RouteMap([moved])
         return await acquire(service, want, on_revoke)
 
     slots.acquire = late
@@ -226,11 +228,11 @@
     # Its partition changed owners while it ran. The new owner has restarted
     # it, and then receives the progress of the previous one.
     slow = hostkit.Answer(hostkit.events(1, 1))
-    given = slow.read
+    original_read = slow.read
 
     async def read(timeout_s):
         if slow.chunks:
-            return await given(timeout_s)
+            return await original_read(timeout_s)
         await asyncio.sleep(3600.0)
 
     slow.read = read
