--- a/camphortray/partition_manager.py
+++ b/camphortray/partition_manager.py
@@ -75,7 +75,7 @@
             parties,
             context.part(active_config.ActiveConfig),
             context.part(slot_client.SlotClient),
-            item_retry.Pace(),
+            item_retry.DurationEstimator(),
             context.metrics,
         )
         self.member = f"{context.config.host.name}.{context.incarnation}"
@@ -323,7 +323,7 @@
 
     def on_change(self, part: int) -> None:
         """Publish that a partition has been taken over."""
-        self.waiting.due = True
+        self.waiting.counts_changed = True
         owner = self.held.get(part)
         if owner is None or not owner.ready.is_set():
             return
--- a/tests/itemrig.py
+++ b/tests/itemrig.py
@@ -110,7 +110,7 @@
         return super().find(host_name, target)
 
 
-class RigPace(item_retry.Pace):
+class RigEstimator(item_retry.DurationEstimator):
     """Learns how long items take, unless that breaks."""
 
     def __init__(self, broken: breakrig.Break) -> None:
@@ -144,7 +144,7 @@
         hostkit.Parties(RigEngine(broken)),
         active_config,
         slots,
-        RigPace(broken),
+        RigEstimator(broken),
     )
 
 
@@ -192,7 +192,7 @@
         """Let the owner hear how far the one before got."""
         text = tuple(b"d%d" % n for n in range(1, count + 1))
         found = itemwork.Progress(0, str(count), text)
-        self.owner.items.take_progress("j1", found)
+        self.owner.items.resume_item("j1", found)
 
     def change(self) -> None:
         """Let the partition change hands now."""
