--- a/camphortray/slot_client.py
+++ b/camphortray/slot_client.py
@@ -134,7 +134,7 @@
         now = self.clock.monotonic()
         return self.coordinators.share_of(service, holders, now)
 
-    def check_preferred_coordinator(self, service: str) -> None:
+    def check_first_choice(self, service: str) -> None:
         """Check whether the preferred coordinator responds.
 
         Called when another host, which could not reach that coordinator,
@@ -277,7 +277,8 @@
             if not request.online:
                 return pending.granted(*await pending.answer)
             left_s = (
-                request.objective_s * slot_scheduler.MAX_WAIT_SHARE + ANSWER_MARGIN_S
+                request.objective_s * slot_scheduler.MAX_WAIT_SHARE
+                + ANSWER_MARGIN_S
             )
             async with timers.limit(left_s):
                 return pending.granted(*await pending.answer)
@@ -450,7 +451,9 @@
         if coordinator == self.own_name:
             served = self.served.coordinator(service)
             now = self.clock.monotonic()
-            served.send_decisions(served.scheduler.done(request_id, outcome, now))
+            served.send_decisions(
+                served.scheduler.done(request_id, outcome, now)
+            )
             return
         member = self.members.member(coordinator)
         if member is not None and not member.dead:
