--- a/camphortray/slot_client.py
+++ b/camphortray/slot_client.py
@@ -191,7 +191,7 @@
             seconds = coordinator_election.UNKNOWN_S
         self.coordinators.exclude(fact.key, now, seconds)
 
-    async def count_engine_requests(
+    async def running_requests(
         self, entry: engine_registry.EngineEntry
     ) -> int:
         upstream = self.upstream(entry)
--- a/tests/test_slot_client.py
+++ b/tests/test_slot_client.py
@@ -124,7 +124,7 @@
         raise errors.UpstreamTimeout("late", ran=False, step="load")
 
     monkeypatch.setattr(
-        slot_client.SlotClient, "count_engine_requests", unresponsive
+        slot_client.SlotClient, "running_requests", unresponsive
     )
     async with platformkit.Platform(hosts=1, engines=1) as platform:
         (host,) = platform.hosts
@@ -210,9 +210,7 @@
         asked.append(entry.name)
         return 3
 
-    monkeypatch.setattr(
-        slot_client.SlotClient, "count_engine_requests", count_poll
-    )
+    monkeypatch.setattr(slot_client.SlotClient, "running_requests", count_poll)
     monkeypatch.setattr(slot_client.SlotClient, "share_of", lambda *_: 0.5)
     async with platformkit.Platform(hosts=1, engines=2) as platform:
         (host,) = platform.hosts
