--- a/camphortray/slot_scheduler.py
+++ b/camphortray/slot_scheduler.py
@@ -168,15 +168,17 @@
         return self.decide(now)
 
     def done(
-        self, name: str, outcome: enginehealth.Outcome, now: float
+        self, want_id: str, outcome: enginehealth.Outcome, now: float
     ) -> list[Decision]:
         """End the lease of a request, or remove the request if it waits."""
-        self.items.drop(name)
-        self.accounting.revocations.confirmed(name)
-        self.queue = [held for held in self.queue if held.id != name]
-        lease = self.accounting.drop(name)
+        self.items.drop(want_id)
+        self.accounting.revocations.confirmed(want_id)
+        self.queue = [held for held in self.queue if held.id != want_id]
+        lease = self.accounting.drop(want_id)
         if lease is None:
-            return self.decide(now) if self.accounting.end_orphan(name) else []
+            return (
+                self.decide(now) if self.accounting.end_orphan(want_id) else []
+            )
         if outcome is enginehealth.Outcome.GOOD and lease.want.online:
             held_s = now - lease.granted_at
             self.hold_s += EWMA_WEIGHT * (held_s - self.hold_s)
@@ -240,7 +242,7 @@
             if want is None:
                 break
             engine = None
-            if self.would_keep(want, now):
+            if self.would_hold_slot(want, now):
                 engine = self.free_engine(want, now)
             if engine is None:
                 skipped.append(want)
@@ -254,7 +256,7 @@
         for want in skipped:
             self.items.add(want)
 
-    def would_keep(self, want: SlotRequest, now: float) -> bool:
+    def would_hold_slot(self, want: SlotRequest, now: float) -> bool:
         """Return whether a batch item would hold a slot for long enough.
 
         It would if a slot stays free even when online requests use as many
