--- a/camphortray/enginehealth.py
+++ b/camphortray/enginehealth.py
@@ -1,4 +1,4 @@
-"""How engines are, as the ends of the requests sent there tell."""
+"""Circuit breaking of engines, by the outcomes of requests sent to them."""
 
 __all__ = ["HealthBook", "Outcome", "outcome_of"]
 
@@ -9,20 +9,20 @@
 
 from camphortray import errors
 
-# Seconds that an engine gets nothing after it refused as full: some other
-# request still holds a slot there, and it is not known for how long.
+# Seconds for which an engine gets no requests after it refused one as full:
+# another request still holds a slot there, for an unknown time.
 FULL_S = 0.15
-# Seconds that an engine gets nothing after it could not be reached, for
-# the first time; doubled with each further failure up to the second.
+# Seconds for which an engine gets no requests after it was unreachable:
+# the first pause, doubled with each further failure up to the maximum.
 UNREACHED_S = 0.5
-UNREACHED_MOST_S = 4.0
-# Answers in a row that broke off at which an engine is put aside too. One
-# or two may be the fault of the request or of the way.
-BROKEN_ROW = 3
+UNREACHED_MAX_S = 4.0
+# Consecutive broken responses after which an engine is ejected. One or two
+# may be caused by the request or by the network.
+BROKEN_THRESHOLD = 3
 
 
 class Outcome(enum.Enum):
-    """How a lease ended, as far as it says something of the engine."""
+    """How a lease ended, as evidence about its engine."""
 
     GOOD = "good"
     FULL = "full"
@@ -33,13 +33,13 @@
 
 @dataclasses.dataclass(slots=True)
 class Health:
-    """What is known of an engine from the ends of its leases.
+    """Health of an engine, derived from the outcomes of its leases.
 
     Attributes:
-      closed_until: Before this time it gets nothing.
-      failures: Times in a row that it could not be reached.
-      broken: Answers in a row that broke off.
-      trial: Whether it gets one request at a time until one goes well.
+      closed_until: Time before which it gets no requests.
+      failures: Consecutive failures that ejected it.
+      broken: Consecutive broken responses.
+      trial: Whether it gets one request at a time until one succeeds.
     """
 
     closed_until: float = -math.inf
@@ -49,20 +49,20 @@
 
 
 class HealthBook:
-    """Which engines are put aside, and which are tried with one request.
+    """Tracks which engines are ejected and which are on trial.
 
-    Health answers of engines are not asked for: they cost a probe, and
-    some are false either way. What becomes of requests is not.
+    Engines are not polled for health: polling costs a probe, and its
+    result can be wrong either way. The outcomes of real requests are not.
 
     Attributes:
-      held: Engines of which there is anything bad to tell.
+      held: Health of the engines that have failed, by name.
     """
 
     def __init__(self) -> None:
         self.held: dict[str, Health] = {}
 
     def keep(self, names: Collection[str]) -> None:
-        """Forget engines that are not there any more."""
+        """Forget engines other than ``names``."""
         for name in self.held.keys() - set(names):
             del self.held[name]
 
@@ -70,10 +70,10 @@
         """Return how many of an engine's slots may be in use.
 
         Args:
-          engine: Which.
-          slots: That it has.
-          now: Present time.
-          whole: Whether to leave trials out of account.
+          engine: Name of the engine.
+          slots: Slots of the engine.
+          now: Current time.
+          whole: Whether to ignore the limit on engines on trial.
         """
         health = self.held.get(engine)
         if health is None:
@@ -83,7 +83,7 @@
         return 1 if health.trial and not whole else slots
 
     def openings(self, now: float) -> list[float]:
-        """Return when engines that are put aside are tried again."""
+        """Return the times at which ejected engines are tried again."""
         return [
             health.closed_until
             for health in self.held.values()
@@ -91,7 +91,7 @@
         ]
 
     def judge(self, engine: str, outcome: Outcome, now: float) -> None:
-        """Learn from the end of a lease how its engine is."""
+        """Update an engine's health from the outcome of a lease."""
         if outcome is Outcome.NOTHING:
             return
         if outcome is Outcome.GOOD:
@@ -103,19 +103,19 @@
             return
         if outcome is Outcome.BROKEN:
             health.broken += 1
-            if health.broken < BROKEN_ROW:
+            if health.broken < BROKEN_THRESHOLD:
                 return
         if now < health.closed_until:
-            # Sent before it was put aside; says nothing new.
+            # Sent before the engine was ejected; no new evidence.
             return
-        pause_s = min(UNREACHED_S * 2**health.failures, UNREACHED_MOST_S)
+        pause_s = min(UNREACHED_S * 2**health.failures, UNREACHED_MAX_S)
         health.failures += 1
         health.trial = True
         health.closed_until = now + pause_s
 
 
 def outcome_of(error: errors.UpstreamError) -> Outcome:
-    """Return what a failed try says of its engine."""
+    """Return what a failed attempt shows about its engine."""
     if isinstance(error, errors.UpstreamUnsendable | errors.UpstreamFault):
         return Outcome.NOTHING
     if isinstance(error, errors.UpstreamRefused):
