--- a/camphortray/outlier.py
+++ b/camphortray/outlier.py
@@ -1,40 +1,45 @@
-"""Which upstreams get no work for a while because they fail."""
+"""Outlier detection: ejects upstreams that fail repeatedly."""
 
 __all__ = ["Outliers"]
 
 from collections.abc import Collection
 import dataclasses
 
-# Failures in a row after which an upstream is put aside.
+# Consecutive failures after which an upstream is ejected.
 FAILURES = 5
-FIRST_S = 2.0
-LONGEST_S = 60.0
-# Share of a service's upstreams that may be put aside. More than that
-# failing at once points at this host's own network or at the requests;
-# putting all aside would then refuse what a try might still answer.
+# First and longest ejection.
+EJECTION_S = 2.0
+MAX_EJECTION_S = 60.0
+# Share of a service's upstreams that may be ejected. If more fail at once,
+# the cause is probably this host's network or the requests; ejecting all
+# would then refuse requests that an attempt might still serve.
 MAX_SHARE = 0.5
 
 
 @dataclasses.dataclass
-class Record:
-    """How an upstream did lately.
+class FailureRecord:
+    """Recent failures of an upstream.
 
     Attributes:
-      failures: In a row.
-      times: How often it was put aside without a success between.
-      until: When it may be used again.
+      failures: Consecutive failures.
+      ejections: Ejections since the last success.
+      ejected_until: When it may be used again.
     """
 
     failures: int = 0
-    times: int = 0
-    until: float = 0.0
+    ejections: int = 0
+    ejected_until: float = 0.0
 
 
 class Outliers:
-    """Puts upstreams aside that fail again and again."""
+    """Ejects upstreams that fail repeatedly.
+
+    Attributes:
+      records: Upstreams that have failed since their last success.
+    """
 
     def __init__(self) -> None:
-        self.records: dict[str, Record] = {}
+        self.records: dict[str, FailureRecord] = {}
 
     def succeeded(self, name: str) -> None:
         """Forget an upstream's failures."""
@@ -42,27 +47,29 @@
             del self.records[name]
 
     def failed(self, name: str, now: float) -> None:
-        """Count a failure; time aside doubles each time."""
-        record = self.records.setdefault(name, Record())
+        """Count a failure; each ejection lasts twice as long as the last."""
+        record = self.records.setdefault(name, FailureRecord())
         record.failures += 1
-        if record.failures >= FAILURES and now >= record.until:
-            aside_s = min(FIRST_S * 2**record.times, LONGEST_S)
-            record.until = now + aside_s
-            record.times += 1
-            # One more failure after its return is enough.
+        if record.failures >= FAILURES and now >= record.ejected_until:
+            ejection_s = min(EJECTION_S * 2**record.ejections, MAX_EJECTION_S)
+            record.ejected_until = now + ejection_s
+            record.ejections += 1
+            # One failure after its return ejects it again.
             record.failures = FAILURES - 1
 
     def ejected(self, names: Collection[str], now: float) -> set[str]:
-        """Return which of ``names`` to leave out, never too many."""
+        """Return the ejected ``names``, at most ``MAX_SHARE`` of them."""
         if not self.records:
             return set()
-        aside = [
+        ejected = [
             name
             for name in names
-            if name in self.records and self.records[name].until > now
+            if name in self.records and self.records[name].ejected_until > now
         ]
-        aside.sort(key=lambda name: self.records[name].until, reverse=True)
-        return set(aside[: int(len(names) * MAX_SHARE)])
+        ejected.sort(
+            key=lambda name: self.records[name].ejected_until, reverse=True
+        )
+        return set(ejected[: int(len(names) * MAX_SHARE)])
 
     def keep(self, names: Collection[str]) -> None:
         """Forget upstreams that are no longer declared."""
