--- a/camphortray/engine_registry.py
+++ b/camphortray/engine_registry.py
@@ -1,4 +1,4 @@
-"""Which engines there are and which take new work, by all that is known."""
+"""Local view of the registered engines and of which take new work."""
 
 __all__ = ["EngineEntry", "EngineRegistry", "MOST_SLOTS"]
 
@@ -9,33 +9,33 @@
 
 from camphortray import config as configs
 
-# Entries that lapsed while the registry was away are back within this long
-# after its return, in seconds; the platform's pages say about two.
+# Seconds after a registry outage within which engines renew the entries
+# that lapsed during it; the platform's documentation says about two.
 RETURN_S = 2.0
-# Removed engines whose last number is remembered, so that an entry that was
-# written before the removal and arrives after it does not bring one back.
+# Removed engines whose last version is remembered, so that an entry written
+# before the removal but received after it does not restore the engine.
 MAX_REMEMBERED = 4_096
-# Requests that one engine may say it runs at once. Engines batch some
-# hundreds at most; an entry with more is not an engine's own, and believed
-# it would draw all requests to itself.
+# Largest plausible number of concurrent requests of one engine. Engines
+# batch some hundreds at most; an entry with more was not written by an
+# engine and, if accepted, would attract all requests.
 MOST_SLOTS = 4_096
-# The life of an engine that does not state its start.
+# Start time of an engine that does not report it.
 UNTOLD = 0
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class EngineEntry:
-    """An engine as it registers itself.
+    """Registry entry of an engine, written by the engine itself.
 
     Attributes:
-      id: Its id, which it may keep when it starts again.
+      id: Engine id, which may stay the same across restarts.
       service: Name of its service.
       address: ``IP:PORT``.
-      availability_zone: Where it stands.
-      slots: Requests it runs at once.
-      draining: Whether it said that it leaves.
-      sequence: Grows with each entry of the same life.
-      born: Unix milliseconds of its start, or 0 if it does not state it.
+      availability_zone: Zone in which it runs.
+      slots: Number of requests it can run concurrently.
+      draining: Whether it has announced that it is shutting down.
+      sequence: Increases with each entry of the same incarnation.
+      born: Start time in Unix milliseconds, or 0 if not reported.
     """
 
     id: str
@@ -49,10 +49,10 @@
 
     @property
     def name(self) -> str:
-        """Name of this life of the engine.
+        """Name of this incarnation of the engine.
 
-        All that is held of an engine (leases, health, suspicion) is held
-        under it, so that nothing of one life is taken for another's.
+        All state about an engine (leases, health, crash suspicion) is kept
+        under this name, so that it does not carry over a restart.
 
         >>> EngineEntry("i-1", "s", "10.0.0.1:80", born=1700).name
         'i-1~1700'
@@ -61,87 +61,87 @@
 
     @property
     def age(self) -> tuple[int, int]:
-        """What orders the entries under one id, the newest last."""
+        """Version of the entry; entries of one id sort oldest first."""
         return self.born, self.sequence
 
 
 class EngineRegistry:
-    """Engines as this host knows them.
+    """Engines known to this host.
 
     Attributes:
-      entries: By id, one life each; those leaving included.
-      services: Services that the configuration names; None before one is
-        known. An entry for any other names no engine.
-      doubted: Engines missing after an outage, and until when that may
-        only be the outage's work.
-      removed: Age of the last entry of engines that are gone.
-      returned_at: When the registry answered again after an outage.
+      entries: Latest entry by engine id, including draining engines.
+      services: Services in the configuration, or None before one is loaded.
+        Entries of other services are ignored.
+      missing: Engines whose entry is missing after an outage, and the time
+        until which they are kept.
+      removed: Version of the last entry of each removed engine.
+      returned_at: When the registry became reachable after an outage.
     """
 
     def __init__(self) -> None:
         self.entries: dict[str, EngineEntry] = {}
         self.services: frozenset[str] | None = None
-        self.doubted: dict[str, float] = {}
+        self.missing: dict[str, float] = {}
         self.removed: dict[str, tuple[int, int]] = {}
         self.returned_at = -RETURN_S
-        # Entries that count, by name of the life; None before a look.
-        self.counted: dict[str, EngineEntry] | None = None
+        # Cached result of ``current``; None if it has to be recomputed.
+        self.cached: dict[str, EngineEntry] | None = None
 
     def set_services(self, services: Collection[str]) -> None:
-        """Take the services that the configuration names."""
+        """Set the services that the configuration names."""
         self.services = frozenset(services)
-        self.counted = None
+        self.cached = None
 
     def put(self, entry: EngineEntry) -> bool:
-        """Take an entry; return whether anything but its number changed."""
+        """Store an entry; return whether more than its sequence changed."""
         held = self.entries.get(entry.id)
         if held is None:
             known = self.removed.get(entry.id, (UNTOLD, -1))
             if entry.age <= known:
                 return False
         elif entry.age < held.age:
-            # Written in an earlier life, or overtaken.
+            # Written by an earlier incarnation, or received out of order.
             return False
-        self.doubted.pop(entry.id, None)
+        self.missing.pop(entry.id, None)
         self.removed.pop(entry.id, None)
-        same_life = held is not None and held.born == entry.born
-        if held is not None and same_life and held.draining:
-            # One that said it leaves never comes back in the same life.
+        same_incarnation = held is not None and held.born == entry.born
+        if held is not None and same_incarnation and held.draining:
+            # Draining is final within an incarnation.
             entry = dataclasses.replace(entry, draining=True)
-        if not same_life:
-            # The latest to come stands last; see ``current``.
+        if not same_incarnation:
+            # ``current`` relies on the order of arrival.
             self.entries.pop(entry.id, None)
         self.entries[entry.id] = entry
-        if held is None or not same_life:
-            self.counted = None
+        if held is None or not same_incarnation:
+            self.cached = None
             return True
         changed = dataclasses.replace(held, sequence=entry.sequence) != entry
         if changed:
-            self.counted = None
-        elif self.counted is not None and entry.name in self.counted:
-            self.counted[entry.name] = entry
+            self.cached = None
+        elif self.cached is not None and entry.name in self.cached:
+            self.cached[entry.name] = entry
         return changed
 
     def gone(self, engine_id: str, now: float) -> bool:
-        """Take note that an entry is missing; return if it is gone now.
+        """Handle a missing entry; return whether the engine was removed.
 
-        Right after an outage of the registry the entry may have lapsed
-        only because the engine could not renew it.
+        Within ``RETURN_S`` of a registry outage the engine is kept, as its
+        entry may have lapsed only because it could not be renewed.
         """
         if engine_id not in self.entries:
             return False
         until = self.returned_at + RETURN_S
         if now < until:
-            self.doubted.setdefault(engine_id, until)
+            self.missing.setdefault(engine_id, until)
             return False
         self.drop(engine_id)
         return True
 
     def spoiled(self, engine_id: str) -> bool:
-        """Take note that an entry names no engine any more.
+        """Handle an entry that became invalid; return if it was known.
 
-        Another writer has put something else in its place. The engine's
-        own next entry, a heartbeat later, brings it back.
+        Another writer has overwritten it. The engine's own next heartbeat
+        restores the engine.
         """
         if engine_id not in self.entries:
             return False
@@ -149,78 +149,76 @@
         return True
 
     def drop(self, engine_id: str) -> None:
-        """Forget an engine but for the age of its last entry."""
+        """Remove an engine; remember the version of its last entry."""
         entry = self.entries.pop(engine_id)
-        self.counted = None
-        self.doubted.pop(engine_id, None)
+        self.cached = None
+        self.missing.pop(engine_id, None)
         self.removed[engine_id] = entry.age
         while len(self.removed) > MAX_REMEMBERED:
             del self.removed[next(iter(self.removed))]
 
     def listing(self, entries: Iterable[EngineEntry], now: float) -> bool:
-        """Take a whole list; return whether anything changed."""
+        """Replace the entries by a full listing; return if any changed."""
         found = {entry.id: entry for entry in entries}
         changes = [self.put(entry) for entry in found.values()]
-        missing = self.entries.keys() - found.keys()
-        changes += [self.gone(engine_id, now) for engine_id in missing]
+        absent = self.entries.keys() - found.keys()
+        changes += [self.gone(engine_id, now) for engine_id in absent]
         return any(changes)
 
     def returned(self, now: float) -> None:
-        """Take note that the registry answers again after an outage."""
+        """Record that the registry is reachable again after an outage."""
         self.returned_at = now
 
     def settle(self, now: float) -> bool:
-        """Drop what is still missing in time; return if anything is."""
-        late = [name for name, at in self.doubted.items() if now >= at]
-        for name in late:
+        """Remove engines still missing at their limit; return if any were."""
+        overdue = [name for name, at in self.missing.items() if now >= at]
+        for name in overdue:
             self.drop(name)
-        return bool(late)
+        return bool(overdue)
 
     def leaving(self, name: str) -> bool:
-        """Take note that a life leaves; return whether that is news."""
+        """Mark an incarnation as draining; return whether that is new."""
         entry = self.current().get(name)
         if entry is None or entry.draining:
             return False
         self.entries[entry.id] = dataclasses.replace(entry, draining=True)
-        self.counted = None
+        self.cached = None
         return True
 
     def current(self) -> dict[str, EngineEntry]:
-        """Return the entries that count, by name of the life.
+        """Return the valid entries by name of the incarnation.
 
-        Of several at one address the engine that started last has it, and
-        where none states its start, the one that was heard of last: the
-        others are gone, or were never there.
+        Of several entries with one address only that of the engine started
+        last is valid, or the one received last if none reports its start.
         """
-        if self.counted is not None:
-            return self.counted
+        if self.cached is not None:
+            return self.cached
         at_address: dict[str, EngineEntry] = {}
         for entry in self.trusted():
             other = at_address.get(entry.address)
             if other is None or entry.born >= other.born:
                 at_address[entry.address] = entry
-        self.counted = {entry.name: entry for entry in at_address.values()}
-        return self.counted
+        self.cached = {entry.name: entry for entry in at_address.values()}
+        return self.cached
 
     def trusted(self) -> list[EngineEntry]:
         """Return the entries that name an engine of a known service.
 
-        An entry without its start is no engine's where engines state it.
-        Some registries are of before engines stated it, so that entries
-        without are left out only where they are not the most of their
-        service: a single stray entry then decides nothing.
+        Engines of older releases do not report their start time. Entries
+        without one are accepted only if they are the majority of their
+        service, so that a single stray entry has no effect.
         """
         held = [
             entry
             for entry in self.entries.values()
             if self.services is None or entry.service in self.services
         ]
-        lives = collections.Counter(e.service for e in held if e.born)
-        untold = collections.Counter(e.service for e in held if not e.born)
+        with_start = collections.Counter(e.service for e in held if e.born)
+        without = collections.Counter(e.service for e in held if not e.born)
         return [
             entry
             for entry in held
-            if entry.born or untold[entry.service] > lives[entry.service]
+            if entry.born or without[entry.service] > with_start[entry.service]
         ]
 
     def usable(self, service: str) -> list[EngineEntry]:
@@ -232,6 +230,6 @@
         ]
 
     def find(self, name: str) -> EngineEntry | None:
-        """Return the engine that takes new work in this life, if any."""
+        """Return the engine of that name if it takes new work."""
         entry = self.current().get(name)
         return None if entry is None or entry.draining else entry
