--- a/camphortray/invalid_entries.py
+++ b/camphortray/invalid_entries.py
@@ -1,27 +1,27 @@
-"""Registry entries that name no engine, so that each is told of once."""
+"""Remembers invalid registry entries, so that each is reported once."""
 
 __all__ = ["InvalidEntries"]
 
 import xxhash
 
-# Keys remembered. A writer that makes up new keys all the time is told of
-# again and again, but fills neither memory nor, with the registry's own
-# limit on writes, the log.
+# Keys remembered. A writer that keeps creating new keys is reported again
+# and again, but does not exhaust memory nor, given the registry's own limit
+# on writes, the log.
 MAX_KEYS = 1_024
 
 
 class InvalidEntries:
-    """Entries left out, by key.
+    """Invalid entries that have been reported, by key.
 
     Attributes:
-      held: Hash of the value that was last told of.
+      held: Hash of the value last reported for each key.
     """
 
     def __init__(self) -> None:
         self.held: dict[str, int] = {}
 
     def news(self, key: str, value: bytes) -> bool:
-        """Take note of an entry; return whether it is not known yet."""
+        """Record an invalid entry; return whether it is new or changed."""
         digest = xxhash.xxh64_intdigest(value)
         if self.held.get(key) == digest:
             return False
@@ -32,5 +32,5 @@
         return True
 
     def sound(self, key: str) -> None:
-        """Take note that a key names an engine again."""
+        """Forget a key, whose entry is valid again."""
         self.held.pop(key, None)
--- a/tests/test_invalid_entries.py
+++ b/tests/test_invalid_entries.py
@@ -1,4 +1,4 @@
-"""Registry entries of another writer, and what is told of them."""
+"""Tests of invalid registry entries: decoding and reporting."""
 
 import json
 
@@ -14,7 +14,7 @@
 from tests import test_active_config
 
 DIALECT = config_decoder.PlatformDialect()
-SOUND = {
+VALID = {
     "service": "s",
     "address": "10.0.0.1:80",
     "zone": "z",
@@ -27,26 +27,26 @@
 
 
 def raw(**fields):
-    """Return a sound entry's bytes with some fields changed."""
-    told = {**SOUND, **fields}
-    kept = {k: v for k, v in told.items() if v is not MISSING}
+    """Return a valid entry with some fields changed, encoded."""
+    changed = {**VALID, **fields}
+    kept = {k: v for k, v in changed.items() if v is not MISSING}
     return json.dumps(kept).encode()
 
 
-def test_a_sound_entry_is_read_with_its_life():
+def test_a_valid_entry_is_decoded_with_its_incarnation():
     entry = DIALECT.engine("i-1", raw(coldLeftMs=5, models=[{"a": [1]}]))
     assert entry.name == "i-1~1700000000000"
     assert not entry.draining
 
 
-def test_an_entry_of_an_engine_that_tells_no_start_is_read():
+def test_an_entry_without_a_start_time_is_decoded():
     assert DIALECT.engine("i-1", raw(born=MISSING)).name == "i-1"
 
 
 BAD_FIELDS = [
-    *({name: MISSING} for name in SOUND if name != "born"),
-    *({name: None} for name in SOUND),
-    *({name: [1]} for name in SOUND),
+    *({name: MISSING} for name in VALID if name != "born"),
+    *({name: None} for name in VALID),
+    *({name: [1]} for name in VALID),
     {"service": 3},
     {"address": "nowhere"},
     {"address": "engine.example:80"},
@@ -75,7 +75,7 @@
 
 
 @pytest.mark.parametrize("fields", BAD_FIELDS, ids=str)
-def test_an_entry_with_a_bad_field_names_no_engine(fields):
+def test_an_entry_with_an_invalid_field_is_rejected(fields):
     with pytest.raises(errors.RecordError):
         DIALECT.engine("i-1", raw(**fields))
 
@@ -94,13 +94,13 @@
 
 
 @pytest.mark.parametrize("value", BAD_BYTES, ids=range(len(BAD_BYTES)))
-def test_bytes_that_are_no_entry_name_no_engine(value):
+def test_bytes_that_are_no_entry_are_rejected(value):
     with pytest.raises(errors.RecordError):
         DIALECT.engine("i-1", value)
 
 
 def follower():
-    """Return what is in force on a host that reads the registry."""
+    """Return the active configuration of a host without engines."""
     part = test_active_config.held()
     part.dialect = DIALECT
     part.strays = invalid_entries.InvalidEntries()
@@ -122,8 +122,8 @@
     max_leaves=8,
 )
 CHANGED = strategies.dictionaries(
-    strategies.sampled_from(sorted(SOUND)), JSON, max_size=7
-).map(lambda fields: json.dumps({**SOUND, **fields}).encode())
+    strategies.sampled_from(sorted(VALID)), JSON, max_size=7
+).map(lambda fields: json.dumps({**VALID, **fields}).encode())
 VALUES = (
     strategies.binary(max_size=40)
     | CHANGED
@@ -133,15 +133,15 @@
 
 @hypothesis.settings(derandomize=True, max_examples=300, deadline=None)
 @hypothesis.given(strategies.lists(VALUES, min_size=1, max_size=6))
-def test_whatever_is_written_the_follower_goes_on_and_sound_engines_stay(
+def test_arbitrary_entries_neither_end_the_follower_nor_remove_engines(
     values,
 ):
-    # A writer of garbage under keys of its own: no exception may end the
-    # follower, as the host would never hear of an engine again.
+    # Another writer puts garbage under its own keys. An exception would end
+    # the follower, and the host would miss all later registry changes.
     part = follower()
     part.engines.set_services({"s"})
-    sound = ledger.LedgerRecord("i-1", raw(address="10.0.0.9:80"))
-    assert part.take_entry(sound)
+    valid = ledger.LedgerRecord("i-1", raw(address="10.0.0.9:80"))
+    assert part.take_entry(valid)
     for number, value in enumerate(values):
         record = ledger.LedgerRecord(f"x-{number}", value)
         part.take_entry(record)
@@ -149,15 +149,15 @@
     assert "i-1" in [e.id for e in part.engines.usable("s")]
 
 
-def test_a_stray_entry_is_told_of_once_for_each_change():
+def test_an_invalid_entry_is_reported_once_per_change():
     held = invalid_entries.InvalidEntries()
-    told = [held.news("x", value) for value in (b"a", b"a", b"b", b"b", b"a")]
-    assert told == [True, False, True, False, True]
+    reported = [held.news("x", v) for v in (b"a", b"a", b"b", b"b", b"a")]
+    assert reported == [True, False, True, False, True]
     held.sound("x")
     assert held.news("x", b"a")
 
 
-def test_stray_keys_fill_no_memory():
+def test_the_number_of_remembered_keys_is_bounded():
     held = invalid_entries.InvalidEntries()
     for number in range(3 * invalid_entries.MAX_KEYS):
         held.news(f"x-{number}", b"")
