--- a/camphortray/draining.py
+++ b/camphortray/draining.py
@@ -1,4 +1,4 @@
-"""Which upstreams are leaving, by all that is said of them."""
+"""Tracks which upstreams are draining, from several sources."""
 
 __all__ = ["DrainingUpstreams"]
 
@@ -7,31 +7,31 @@
 from camphortray import engine
 from camphortray import hostlist
 
-GOING = ("leaving", "gone")
-# An upstream that cannot be asked is tried again after this long, if the
-# list calls it live; by then the list shows what it was late with.
+LEAVING_STATUSES = ("leaving", "gone")
+# Seconds after which an upstream that cannot be queried is used again if the
+# host list has it as live; by then the list's lag has passed.
 UNASKED_S = 60.0
-# An upstream's own word that it serves counts without a read of the list
-# since the mark only after this long. Hosts of a large fleet read the list
-# about every 20 s; while it is away the upstream's word must do.
+# Seconds after which an upstream's own report that it serves is accepted
+# without a read of the host list since the mark. Hosts of a large fleet read
+# the list about every 20 s; during an outage of the list there is no read.
 UNREAD_S = 30.0
 
 
 class DrainingUpstreams:
     """Upstreams that get no new work.
 
-    The first word from any source counts: the platform's list, the
-    upstream's own refusal or state, or another host. The list lags, so
-    that it says "live" proves nothing about an upstream that has just
-    said it is leaving. Only the upstream itself, asked anew, or a list
-    that had said "leaving" and says "live" again takes the mark off.
+    An upstream is marked by the first report from any source: the
+    platform's host list, its own refusal or state, or another host. As the
+    list lags, its "live" does not contradict a recent report. The mark is
+    removed only if the upstream, queried again, reports that it serves, or
+    if the list changes from "leaving" back to "live".
 
     Attributes:
-      marked: Names that get no new work, and since when.
-      listed: Last status in the list, by name.
-      returned: Marked names that the list has taken back.
-      reads: How often the list was read here.
-      read_at: ``reads`` when each mark was put on.
+      marked: Time at which each upstream was marked, by name.
+      listed: Last status in the host list, by name.
+      returned: Marked names that the list has as live again.
+      reads: Number of reads of the list on this host.
+      read_at: Value of ``reads`` when each upstream was marked.
     """
 
     def __init__(self) -> None:
@@ -42,24 +42,24 @@
         self.read_at: dict[str, int] = {}
 
     def on_list(self, lines: Iterable[hostlist.ListedHost]) -> list[str]:
-        """Take the platform's list; return names it newly sends away."""
-        news = []
+        """Process the host list; return unmarked names that it has leaving."""
+        leaving = []
         self.reads += 1
         for line in lines:
             if line.kind != "upstream":
                 continue
             before = self.listed.get(line.name)
             self.listed[line.name] = line.status
-            if line.status in GOING:
+            if line.status in LEAVING_STATUSES:
                 self.returned.discard(line.name)
                 if line.name not in self.marked:
-                    news.append(line.name)
-            elif before in GOING:
+                    leaving.append(line.name)
+            elif before in LEAVING_STATUSES:
                 self.returned.add(line.name)
-        return news
+        return leaving
 
     def mark(self, name: str, leaving: bool, now: float) -> None:
-        """Put the mark on or take it off."""
+        """Mark an upstream as leaving, or remove its mark."""
         if leaving:
             self.marked.setdefault(name, now)
             self.read_at.setdefault(name, self.reads)
@@ -74,19 +74,19 @@
         """Return whether a marked upstream may be used again.
 
         Args:
-          name: Which upstream.
-          state: What it says of itself just now, or None if it does not
-            answer or cannot be asked.
-          now: The present time, as for ``mark``.
+          name: Name of the upstream.
+          state: State it has just reported, or None if it did not answer
+            or cannot be queried.
+          now: Current time, from the same clock as for ``mark``.
         """
-        if self.listed.get(name) in GOING:
+        if self.listed.get(name) in LEAVING_STATUSES:
             return False
         if state is not None:
-            # Another host may have it from the list, which this one has
-            # not read since; the upstream itself need not know of it yet.
+            # The mark may come from another host's newer read of the list,
+            # of which neither this host nor the upstream knows yet.
             read = self.reads != self.read_at.get(name, -1)
             waited = self.marked.get(name, now) <= now - UNREAD_S
             return not state.draining and (read or waited)
-        long_ago = self.marked.get(name, now) <= now - UNASKED_S
+        expired = self.marked.get(name, now) <= now - UNASKED_S
         live = self.listed.get(name) == "live"
-        return name in self.returned or (long_ago and live)
+        return name in self.returned or (expired and live)
