--- a/camphortray/upstreams.py
+++ b/camphortray/upstreams.py
@@ -1,4 +1,4 @@
-"""What this host knows of each upstream: in flight, leaving, load."""
+"""State of each upstream on this host: load, health and draining."""
 
 __all__ = ["Probe", "Upstreams"]
 
@@ -25,24 +25,26 @@
 LOG = logs.logger("upstreams")
 LEAVING = "upstream-leaving"
 LEAVING_KEEP_S = 600.0
-# Polls of load a second that one host makes at most.
+# Largest rate of load polls by one host.
 POLLS_PER_S = 4.0
-# Reads of the platform's list a second by all hosts together; news spread
-# from the host that reads them first.
+# Rate of host list reads by the whole fleet; the host that reads a change
+# first publishes it to the others.
 LIST_READS_PER_S = 20.0
 TICK_S = 1.0
-# Pause before a held upstream is probed again, doubled up to the second.
+# Pause before an unreachable upstream is probed again, doubled up to the
+# maximum.
 PROBE_S = 0.25
-PROBE_LONGEST_S = 4.0
-# Hosts that ask a leaving upstream whether it is back.
-ASKERS = 2
+MAX_PROBE_S = 4.0
+# Number of hosts that query a leaving upstream for its return.
+QUERYING_HOSTS = 2
 
 
 class Probe(enum.Enum):
-    """What a new connection to an upstream showed.
+    """Result of a new connection to an upstream.
 
-    ``REFUSED`` is the word of its machine that nothing listens there;
-    ``SILENT`` is any other want of an answer, which may lie on the path.
+    ``REFUSED`` means that its machine refused the connection, as nothing
+    listens there; ``SILENT`` is any other failure, which may be caused by
+    the network path.
     """
 
     ALIVE = "alive"
@@ -57,9 +59,9 @@
 
     Attributes:
       loads: This program's requests and expected waits, by name.
-      leaving: Which upstreams take no new work.
+      leaving: Upstreams that are draining.
       down: Names of upstreams that a probe found unreachable.
-      outliers: Which upstreams are put aside as they fail.
+      outliers: Upstreams ejected because of failures.
     """
 
     name: ClassVar[str] = "upstreams"
@@ -102,34 +104,36 @@
             task.cancel()
 
     def spawn(self, work: "asyncio._CoroutineLike[None]") -> None:
-        """Run work in the background until done or stopped."""
+        """Run a coroutine in the background until done or stopped."""
         task = asyncio.get_running_loop().create_task(work)
         self.tasks.add(task)
         task.add_done_callback(self.tasks.discard)
 
     def on_view(self, view: settings.View) -> None:
-        """Forget upstreams that settings no longer name."""
+        """Forget upstreams that are no longer in the settings."""
         self.subsets.clear()
         names = {n for s in view.services.values() for n in s.upstreams}
         self.outliers.keep(names)
         self.loads.keep(names)
 
     def on_member(self, member: membership.Member) -> None:
-        """Choose subsets anew when hosts come or go."""
+        """Invalidate the subsets when hosts join or leave."""
         self.subsets.clear()
 
     def on_leaving(self, fact: membership.Fact) -> None:
-        """Send an upstream nothing new, or take it back."""
+        """Apply a published change of an upstream's draining mark."""
         now = self.clock.monotonic()
         self.leaving.mark(fact.key, bool(fact.value), now)
         if not fact.value:
             self.outliers.succeeded(fact.key)
         LOG.notice(
-            "{} {}.", fact.key, "is leaving" if fact.value else "is back"
+            "Upstream {} {}.",
+            fact.key,
+            "is draining" if fact.value else "takes new work again",
         )
 
     def note_leaving(self, name: str, leaving: bool = True) -> None:
-        """Tell all hosts that an upstream is leaving, or is back."""
+        """Publish to all hosts that an upstream is leaving or back."""
         if (name in self.leaving.marked) != leaving:
             self.members.publish(LEAVING, name, leaving, LEAVING_KEEP_S)
 
@@ -156,8 +160,8 @@
     ) -> list[routing.Candidate]:
         """Return the upstreams of a service that may get new work.
 
-        Those outside this host's subset count only if none inside it is
-        left.
+        Those outside this host's subset are returned only if none inside
+        it is usable.
         """
         inside = self.subset(service)
         usable = [
@@ -182,7 +186,7 @@
 
     @contextlib.contextmanager
     def count(self, upstream: engine.Upstream) -> Iterator[None]:
-        """Count a request as in flight while it is."""
+        """Count a request as in flight within the context."""
         self.loads.load(upstream.name).own += 1
         try:
             yield
@@ -190,13 +194,13 @@
             self.loads.load(upstream.name).own -= 1
 
     def failed(self, upstream: engine.Upstream) -> None:
-        """Take note of a failed try."""
+        """Record a failed attempt."""
         self.outliers.failed(upstream.name, self.clock.monotonic())
 
     async def probe(self, upstream: engine.Upstream) -> Probe:
-        """Try a new connection; callers at the same time share one try.
+        """Probe an upstream; concurrent callers share one probe.
 
-        An upstream that cannot be reached is held down until it can be.
+        An unreachable upstream gets no work until a later probe succeeds.
         """
         task = self.probes.get(upstream.name)
         if task is None:
@@ -210,12 +214,14 @@
         unreachable = found in (Probe.REFUSED, Probe.SILENT)
         if unreachable and upstream.name not in self.down:
             self.down.add(upstream.name)
-            LOG.warning("{} is down: {}.", upstream.name, found.value)
+            LOG.warning(
+                "Upstream {} is unreachable: {}.", upstream.name, found.value
+            )
             self.spawn(self.until_up(upstream))
         return found
 
     async def probe_once(self, upstream: engine.Upstream) -> Probe:
-        """Ask an upstream for its state over a new connection."""
+        """Query an upstream for its state and compare its incarnation."""
         try:
             state = await self.state(upstream)
         except errors.UpstreamRefused:
@@ -232,11 +238,11 @@
         return Probe.ALIVE
 
     async def state(self, upstream: engine.Upstream) -> engine.EngineState:
-        """Ask an upstream for its state."""
+        """Query an upstream for its state."""
         return await self.backends.engine(upstream.plugin).state(upstream)
 
     async def until_up(self, upstream: engine.Upstream) -> None:
-        """Probe until an upstream answers, then use it again."""
+        """Probe an upstream until it answers, then use it again."""
         pause_s = PROBE_S
         while True:
             await asyncio.sleep(pause_s * self.context.rng.uniform(0.8, 1.2))
@@ -244,12 +250,12 @@
             if found in (Probe.ALIVE, Probe.RESTARTED):
                 self.down.discard(upstream.name)
                 self.outliers.succeeded(upstream.name)
-                LOG.notice("{} is up again.", upstream.name)
+                LOG.notice("Upstream {} is reachable again.", upstream.name)
                 return
-            pause_s = min(2 * pause_s, PROBE_LONGEST_S)
+            pause_s = min(2 * pause_s, MAX_PROBE_S)
 
     async def watch_list(self) -> None:
-        """Read the platform's list now and then."""
+        """Read the platform's host list periodically."""
         rng = self.context.rng
         while True:
             hosts = len(self.members.live(self.context.program))
@@ -258,27 +264,29 @@
             try:
                 lines = await self.backends.hosts.read()
             except errors.CamphortrayError as error:
-                LOG.debug("No list: {}", error)
+                LOG.debug("Cannot read the host list: {}", error)
                 continue
             for name in self.leaving.on_list(lines):
                 self.note_leaving(name)
 
     async def watch_leaving(self) -> None:
-        """Ask leaving upstreams whether they are back."""
+        """Query leaving upstreams periodically for their return."""
         while True:
             await asyncio.sleep(TICK_S)
             for name in sorted(self.leaving.marked):
-                if self.asks(name):
-                    await self.ask_back(name)
+                if self.is_querier(name):
+                    await self.check_return(name)
 
-    def asks(self, name: str) -> bool:
-        """Return whether it is for this host to ask an upstream."""
+    def is_querier(self, name: str) -> bool:
+        """Return whether this host is to query a leaving upstream."""
         program = self.context.program
         names = [m.name for m in self.members.live(program)]
-        return self.members.own_name in shards.rank(name, names)[:ASKERS]
+        return (
+            self.members.own_name in shards.rank(name, names)[:QUERYING_HOSTS]
+        )
 
-    async def ask_back(self, name: str) -> None:
-        """Take an upstream back if it says that it takes work."""
+    async def check_return(self, name: str) -> None:
+        """Publish an upstream's return if it takes new work again."""
         state = None
         with contextlib.suppress(errors.CamphortrayError):
             upstream = self.engines(whole=True).get(name)
@@ -290,7 +298,7 @@
         """Return the engines by name.
 
         Args:
-          whole: All of them, rather than those this host uses.
+          whole: Whether to include those outside this host's subset.
         """
         return {
             name: upstream
@@ -301,7 +309,7 @@
         }
 
     async def poll_loads(self) -> None:
-        """Ask the engines of this host's subset for their load, slowly."""
+        """Poll the engines of this host's subset for load, one by one."""
         while True:
             upstreams = list(self.engines().values())
             count = max(1, len(upstreams))
@@ -315,16 +323,16 @@
                 await self.poll(upstream, with_state)
 
     async def poll(self, upstream: engine.Upstream, with_state: bool) -> None:
-        """Ask one engine for its load, and perhaps its state."""
-        party = self.backends.engine(upstream.plugin)
+        """Query one engine for its load and optionally its state."""
+        plugin = self.backends.engine(upstream.plugin)
         try:
-            report = await party.load(upstream)
+            report = await plugin.load(upstream)
             now = self.clock.monotonic()
             self.loads.report(upstream.name, report, now)
             if with_state or upstream.name not in self.incarnations:
-                state = await party.state(upstream)
+                state = await plugin.state(upstream)
                 self.incarnations[upstream.name] = state.incarnation
                 if state.draining:
                     self.note_leaving(upstream.name)
         except errors.CamphortrayError as error:
-            LOG.debug("No load: {}", error)
+            LOG.debug("Cannot read the load: {}", error)
