--- a/camphortray/engine.py
+++ b/camphortray/engine.py
@@ -1,7 +1,4 @@
-"""A model engine as the system meets it: the base class and its types.
-
-The in-memory sibling is ``MemoryEngine``, which answers at once.
-"""
+"""Engine plug-ins: the base class, its types and an in-memory engine."""
 
 __all__ = [
     "CacheEvent",
@@ -31,24 +28,23 @@
 from camphortray import errors
 from camphortray import registry
 
-# Answers of an engine that another engine would give too.
+# Status codes that are not retried, as every engine would return the same.
 FINAL = frozenset({400, 413, 422})
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Upstream:
-    """An upstream as the settings declare it.
+    """An upstream as declared in the settings.
 
     Attributes:
-      name: Unique in its region.
-      address: Where it listens.
-      availability_zone: Where it stands.
-      plugin: Which plug-in speaks to it.
-      checks_fencing: Whether it refuses orders with an old number.
-      slots: Requests it may run at once, as declared.
-      instance: Id that the engine itself goes by, where it differs from
-        the name.
-      max_idle: Idle connections that this host may keep to it.
+      name: Name, unique in its region.
+      address: Address on which it listens.
+      availability_zone: Zone in which it runs.
+      plugin: Name of the engine plug-in to use.
+      checks_fencing: Whether it refuses orders with an old fencing token.
+      slots: Declared number of concurrent requests.
+      instance: Id that the engine uses for itself, if other than the name.
+      max_idle: Largest number of idle connections from this host.
     """
 
     name: str
@@ -66,25 +62,25 @@
     """A request as sent to an engine.
 
     Attributes:
-      id: Echoed by the engine; checked on arrival.
+      id: Request id, echoed by the engine and checked in its response.
       path: e.g. ``"/v1/chat/completions"``.
-      body: JSON as the engine is to read it.
-      stream: Whether the answer comes as server-sent events.
-      deadline_s: Seconds left, or None.
-      resume_text: Text already given to the caller; the engine goes on
-        right behind it.
+      body: JSON body in the form that the engine expects.
+      stream: Whether the response is sent as server-sent events.
+      deadline_s: Seconds left until the deadline, or None.
+      resume_text: Text already sent to the caller; the engine continues
+        after it.
       resume_tokens: Number of tokens in ``resume_text``.
-      batch: Whether it is batch work; engines know no priorities, so
-        this is for the record only.
-      silence_s: Longest silence to be expected before the answer begins;
-        a kept connection silent for longer is taken for dead, a new one
-        after four times as long. 0 for no such limit.
+      batch: Whether it is batch work; informational only, as engines have
+        no priorities.
+      silence_s: Longest expected time to the start of the response. A
+        reused connection is considered dead after this time and a new one
+        after four times as long; 0 disables the limit.
       method: HTTP method.
-      headers: The caller's headers that travel on, in order.
-      resume_after: Id of the last event that has come; the engine goes on
-        with the one after it. Empty to begin at the start.
+      headers: Forwarded headers of the caller, in order.
+      resume_after: Id of the last event received; the engine continues
+        with the next one. Empty to start from the beginning.
       repeatable: Whether it may run more than once.
-      workspace: On whose behalf it runs; empty if for nobody in particular.
+      workspace: Workspace on whose behalf it runs, or empty.
     """
 
     id: str
@@ -105,11 +101,11 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class LoadReport:
-    """Load as an engine reports it, with a lag.
+    """Load reported by an engine; it lags behind the actual load.
 
     Attributes:
       running: Requests in its batch.
-      waiting: Requests it has admitted but not begun.
+      waiting: Requests admitted but not started.
       kv_used: Share of KV cache in use, 0 to 1.
       age_s: Age of the report when sent.
     """
@@ -122,12 +118,12 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class CacheEvent:
-    """A prefix entered or left an engine's cache.
+    """A prefix was stored in or evicted from an engine's cache.
 
     Attributes:
-      sequence: Number of the event; numbers missing are lost events.
+      sequence: Sequence number; gaps are lost events.
       prefix: Hash of the leading blocks.
-      stored: True if it entered, False if it was evicted.
+      stored: True if it was stored, False if it was evicted.
     """
 
     sequence: int
@@ -137,7 +133,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class CacheEvents:
-    """Cache events after a number; late, and perhaps with gaps."""
+    """Cache events after a sequence number; delayed, possibly with gaps."""
 
     next: int
     events: tuple[CacheEvent, ...]
@@ -145,15 +141,15 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Order:
-    """An order to an upstream.
+    """A command to an upstream.
 
     Attributes:
-      action: What to do.
-      model: Which model.
-      version: Which version of it; empty for ``role``.
-      adapter: Which adapter on it, or empty.
+      action: Load a model, unload one, or change the role.
+      model: Name of the model.
+      version: Version of the model; empty for ``role``.
+      adapter: Name of an adapter of the model, or empty.
       role: New role, for ``role``.
-      fencing: Epoch of the owner that gives the order.
+      fencing: Epoch of the owner that issues the order.
     """
 
     action: Literal["load", "unload", "role"]
@@ -166,11 +162,11 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class OrderAnswer:
-    """What became of an order.
+    """Response to an order.
 
     Attributes:
-      accepted: Whether the upstream took it.
-      reason: Why not, e.g. ``"stale fencing token"``.
+      accepted: Whether the upstream accepted it.
+      reason: Why it did not, e.g. ``"stale fencing token"``.
     """
 
     accepted: bool
@@ -179,11 +175,11 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class EngineState:
-    """What an engine has loaded.
+    """Models loaded in an engine, and its state.
 
     Attributes:
       models: Pairs of model and version that it can serve.
-      loading: Pairs that it is loading.
+      loading: Pairs of model and version that it is loading.
       adapters: Pairs of model and adapter.
       role: e.g. ``"mixed"``, ``"prefill"``, ``"decode"``.
       draining: Whether it takes no new work.
@@ -199,12 +195,12 @@
 
 
 class EngineStream(abc.ABC):
-    """An answer under way.
+    """A response being received.
 
     Attributes:
-      status: HTTP status of the answer.
-      content_type: Its media type.
-      headers: Headers that belong to the answer, not to its connection.
+      status: HTTP status.
+      content_type: Media type.
+      headers: End-to-end headers, without those of the connection.
     """
 
     status: int = 200
@@ -213,20 +209,20 @@
 
     @abc.abstractmethod
     async def read(self, timeout_s: float) -> bytes:
-        """Return the bytes that have come, or ``b""`` at a clean end.
+        """Return the bytes received, or ``b""`` at the regular end.
 
         Raises:
-          UpstreamBroken: cut off.
-          UpstreamTimeout: silent for ``timeout_s``.
+          UpstreamBroken: the response was truncated.
+          UpstreamTimeout: nothing was received for ``timeout_s``.
         """
 
     async def pipe(
         self, sink: Callable[[bytes], bool], timeout_s: float
     ) -> bool:
-        """Give the answer to a sink as it comes; see ``read``.
+        """Pass the response to a sink as it is received; see ``read``.
 
-        Return True at a clean end, and False if the sink returned True to
-        ask for a pause; calling again then goes on.
+        Return True at the regular end, or False if the sink returned True
+        to request a pause; another call then continues.
         """
         while data := await self.read(timeout_s):
             if sink(data):
@@ -235,38 +231,38 @@
 
     @abc.abstractmethod
     def close(self) -> None:
-        """Stop; an answer not read to its end is cancelled."""
+        """Close the stream; an unfinished response is cancelled."""
 
 
 class Engine(abc.ABC):
-    """Speaks to engines of one kind."""
+    """Client for engines of one kind."""
 
     @classmethod
     @abc.abstractmethod
     def from_config(cls) -> "Engine":
-        """Build."""
+        """Create the client."""
 
     @abc.abstractmethod
     async def open(
         self, upstream: Upstream, request: EngineRequest, fresh: bool = False
     ) -> EngineStream:
-        """Send a request; return when its answer begins.
+        """Send a request; return when its response begins.
 
         Args:
-          upstream: Where to.
-          request: What to run.
-          fresh: Whether to insist on a new connection.
+          upstream: Upstream to send it to.
+          request: Request to run.
+          fresh: Whether to require a new connection.
 
         Raises:
-          UpstreamRefused: the engine refused; ``ran`` says if it may
-            have run.
-          UpstreamBroken: connection failed; ``ran`` likewise.
-          UpstreamTimeout: no answer in time.
+          UpstreamRefused: the engine refused; ``ran`` tells whether the
+            request may have run.
+          UpstreamBroken: the connection failed; ``ran`` as above.
+          UpstreamTimeout: no response in time.
         """
 
     @abc.abstractmethod
     async def cancel(self, upstream: Upstream, request_id: str) -> None:
-        """Cancel a request, on a connection of its own."""
+        """Cancel a request over a separate connection."""
 
     @abc.abstractmethod
     async def load(self, upstream: Upstream) -> LoadReport:
@@ -274,25 +270,25 @@
 
     @abc.abstractmethod
     async def events(self, upstream: Upstream, after: int) -> CacheEvents:
-        """Return cache events after number ``after``."""
+        """Return the cache events after sequence number ``after``."""
 
     @abc.abstractmethod
     async def order(self, upstream: Upstream, order: Order) -> OrderAnswer:
-        """Give an order."""
+        """Send an order."""
 
     @abc.abstractmethod
     async def state(self, upstream: Upstream) -> EngineState:
-        """Return what is loaded."""
+        """Return the engine's state."""
 
     async def close(self) -> None:
-        """Release connections."""
+        """Close all connections."""
 
 
 ENGINES: registry.Registry[Engine] = registry.Registry("engine")
 
 
 class MemoryStream(EngineStream):
-    """Chunks held in memory; an exception among them is raised."""
+    """Returns chunks from memory; exceptions among them are raised."""
 
     def __init__(self, chunks: list[bytes | Exception]) -> None:
         self.chunks = chunks
@@ -312,21 +308,23 @@
 
 @ENGINES.register("memory")
 class MemoryEngine(Engine):
-    """Engines in memory, scripted by a test.
+    """Simulated engines for tests.
 
     Attributes:
-      script: Called for each request; returns the chunks of its answer,
+      script: Called for each request; returns the chunks of its response,
         or raises.
-      seen: Every request that reached an upstream, with its name.
-      cancelled: Ids of requests cancelled.
+      seen: Name of the upstream and request, for every request sent.
+      cancelled: Ids of cancelled requests.
+      orders: Name of the upstream and order, for every order sent.
       states: State by name of upstream.
+      loads: Load by name of upstream.
     """
 
     def __init__(
         self,
         script: Callable[[Upstream, EngineRequest], list[Any]] | None = None,
     ) -> None:
-        self.script = script or one_word
+        self.script = script or name_response
         self.seen: list[tuple[str, EngineRequest]] = []
         self.cancelled: list[str] = []
         self.orders: list[tuple[str, Order]] = []
@@ -364,18 +362,21 @@
             return self.states[upstream.name]
         except KeyError:
             raise errors.UpstreamBroken(
-                "no state", ran=False, step="state", peer=upstream.name
+                "no state is defined for the upstream",
+                ran=False,
+                step="state",
+                peer=upstream.name,
             ) from None
 
 
-def one_word(upstream: Upstream, request: EngineRequest) -> list[Any]:
-    """Answer with the name of the upstream."""
+def name_response(upstream: Upstream, request: EngineRequest) -> list[Any]:
+    """Return a response with the name of the upstream."""
     text = f"answered by {upstream.name}"
     return [json.dumps({"choices": [{"text": text}]}).encode()]
 
 
 async def read_all(stream: EngineStream, timeout_s: float) -> bytes:
-    """Return a whole answer."""
+    """Return the whole body of a response."""
     parts = [part async for part in iterate(stream, timeout_s)]
     return b"".join(parts)
 
@@ -383,6 +384,6 @@
 async def iterate(
     stream: EngineStream, timeout_s: float
 ) -> AsyncIterator[bytes]:
-    """Yield an answer as it comes."""
+    """Yield the body of a response as it is received."""
     while data := await stream.read(timeout_s):
         yield data
