--- a/tests/test_engine_registry.py
+++ b/tests/test_engine_registry.py
@@ -29,7 +29,7 @@
     assert names(registry) == []
 
 
-def test_an_entry_out_of_order_is_ignored():
+def test_a_late_entry_undoes_nothing():
     # Older entries may arrive after newer ones of the same engine. They
     # must not restore an engine that is draining or removed.
     registry = engine_registry.EngineRegistry()
