--- a/camphortray/poison.py
+++ b/camphortray/poison.py
@@ -1,4 +1,4 @@
-"""Which requests crash the upstreams that run them, and which do not."""
+"""Detects poison requests, which crash the upstreams that run them."""
 
 __all__ = ["Permits", "PoisonBook", "Standing", "Verdict", "fingerprint"]
 
@@ -6,22 +6,23 @@
 import enum
 import hashlib
 
-# Reports of one crash come from many hosts, and their clocks differ a
-# little. An engine takes longer than this to come back, so two crashes of
-# one upstream are never taken for one.
+# Reports of an upstream's crash within this time are about the same crash:
+# many hosts report it, with slightly different clocks. An engine takes
+# longer to restart, so two crashes are never merged.
 SAME_CRASH_S = 3.0
-# Facts reach all hosts within this time. Suspects wait for it before they
-# run again, so that every host knows all suspects of a crash, and nothing
-# is decided on half of the reports.
+# Time within which facts reach all hosts. Suspects are not retried before,
+# so that every host knows all suspects of a crash and decides on complete
+# reports.
 SETTLE_S = 2.0
-# So many other upstreams crashing this close to the second crash, without
-# the request, point at a fault of the place (a zone or rack lost). Fewer
-# may be another poison request, and must not let this one off.
+# Number of other upstreams that must crash without the request, and within
+# how many seconds of its second crash, for the cause to be a shared failure
+# (a lost zone or rack). Fewer may be another poison request, and must not
+# exonerate this one.
 RELATED = 2
 RELATED_S = 5.0
-# Hexadecimal digits of a fingerprint.
-DIGITS = 24
-# How long a crash is held against the requests in flight at it.
+# Length of a fingerprint in hexadecimal digits.
+FINGERPRINT_DIGITS = 24
+# Time for which requests in flight at a crash remain suspect.
 SUSPECT_S = 900.0
 
 
@@ -38,9 +39,9 @@
     """How a request may run, and when.
 
     Attributes:
-      standing: How.
-      at: From when on, for ``APART``; until when, for ``QUARANTINED``;
-        wall-clock seconds.
+      standing: How it may run.
+      at: Wall-clock seconds; the start for ``APART``, the end for
+        ``QUARANTINED``.
     """
 
     standing: Standing
@@ -52,13 +53,14 @@
 
 @dataclasses.dataclass(slots=True)
 class Crash:
-    """One crash as all hosts that saw it report it.
+    """One crash, merged from the reports of all hosts that observed it.
 
     Attributes:
-      upstream: Which upstream.
-      at: When the first report was made, wall-clock seconds.
-      suspects: Fingerprints in flight there, but those cleared since.
-      explained: Whether the request that did it is known.
+      upstream: Name of the upstream.
+      at: Time of the first report received, in wall-clock seconds.
+      suspects: Fingerprints of the requests in flight there, without those
+        cleared since.
+      explained: Whether the request that caused it is known.
     """
 
     upstream: str
@@ -68,35 +70,40 @@
 
 
 def fingerprint(model: str, text: str) -> str:
-    """Return what tells one request from another, sent again or not.
+    """Return a fingerprint that is the same when a request is sent again.
 
-    Runs of white space and the caller's other fields do not count: what
-    crashes an engine is nearly always the text, and a caller that sends
-    again may change a header or the temperature.
+    Runs of white space and the other fields are ignored: the cause of an
+    engine crash is nearly always the text, and a caller that retries may
+    change a header or the temperature.
 
     >>> fingerprint("m", "a  b") == fingerprint("m", "a b ")
     True
     """
     words = " ".join(text.split())
     content = f"{model}\0{words}".encode(errors="replace")
-    # A caller who could make another's fingerprint could have the other's
-    # requests quarantined, so a fast hash will not do. It is worked out
-    # only while something is under suspicion.
-    return hashlib.sha256(content).hexdigest()[:DIGITS]
+    # The hash is cryptographic, as a caller able to forge another caller's
+    # fingerprint could have that caller's requests quarantined. It is
+    # computed only while some request is suspect.
+    return hashlib.sha256(content).hexdigest()[:FINGERPRINT_DIGITS]
 
 
 class PoisonBook:
-    """Crashes, and who was in flight at them.
+    """Tracks crashes and the requests in flight at each.
 
-    A request is poison when it is the *only one* that was in flight at
-    two crashes. One crash proves nothing: everybody in flight is a
-    suspect and runs apart. With suspects apart, the second crash of a
-    poison request has no other suspect beside it, so the only request
-    common to both is the one that did it; the others of both crashes are
-    innocent at once and wait no longer.
+    A request is poison if it is the *only one* that was in flight at two
+    crashes. One crash is no proof: all requests in flight become suspects
+    and are isolated. As suspects do not run beside each other, the second
+    crash of a poison request involves no other suspect, so the only request
+    common to both crashes is the cause. The other requests of both crashes
+    are then cleared.
 
     The state is a pure function of the reports, which reach all hosts, so
-    that all decide alike without asking each other.
+    all hosts decide alike without coordination.
+
+    Attributes:
+      quarantine_s: Duration of a quarantine.
+      crashes: Recent crashes.
+      quarantined: End of the quarantine by fingerprint, wall-clock seconds.
     """
 
     def __init__(self, quarantine_s: float = 3600.0) -> None:
@@ -105,7 +112,7 @@
         self.quarantined: dict[str, float] = {}
 
     def report(self, upstream: str, at: float, suspects: set[str]) -> None:
-        """Take one host's report of a crash at wall-clock time ``at``."""
+        """Add one host's report of a crash at wall-clock time ``at``."""
         suspects = set(suspects)
         for crash in self.crashes:
             if crash.upstream == upstream and (
@@ -120,7 +127,7 @@
             crash.explained = True
 
     def clear(self, name: str, at: float) -> None:
-        """Take note that a request went well at ``at``."""
+        """Record that a request succeeded at wall-clock time ``at``."""
         for crash in self.crashes:
             if crash.at <= at:
                 crash.suspects.discard(name)
@@ -142,11 +149,11 @@
         )
 
     def open_crashes(self) -> list[Crash]:
-        """Return the crashes not explained yet."""
+        """Return the crashes whose cause is not known."""
         return [crash for crash in self.crashes if not crash.explained]
 
     def decide(self, now: float) -> None:
-        """Forget what is old and look for proofs."""
+        """Drop expired state and quarantine requests proved to be poison."""
         self.crashes = [c for c in self.crashes if c.at > now - SUSPECT_S]
         for name in [n for n, t in self.quarantined.items() if t <= now]:
             del self.quarantined[name]
@@ -162,15 +169,15 @@
         if len(common) != 1 or first.explained or second.explained:
             return
         (name,) = common
-        if self.of_the_place(name, second):
+        if self.is_shared_failure(name, second):
             return
         self.quarantined[name] = second.at + self.quarantine_s
         for crash in self.crashes:
             if name in crash.suspects:
                 crash.explained = True
 
-    def of_the_place(self, name: str, crash: Crash) -> bool:
-        """Return whether several crashed about then without the request."""
+    def is_shared_failure(self, name: str, crash: Crash) -> bool:
+        """Return whether other upstreams crashed too without the request."""
         others = {
             other.upstream
             for other in self.crashes
@@ -184,18 +191,23 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Permit:
-    """Leave to run one suspect on an upstream, until a time."""
+    """Lease on an upstream for one suspect.
+
+    Attributes:
+      holder: Unique name of the attempt that holds it.
+      until: Expiry in monotonic seconds.
+    """
 
     holder: str
     until: float
 
 
 class Permits:
-    """One suspect at a time on each upstream.
+    """Grants each upstream to one suspect at a time.
 
-    Soft state of the upstream's coordinator. Were two hosts to hold a
-    permit for one upstream, a crash there would have two suspects and
-    prove nothing; that costs time and never an innocent.
+    This is soft state of the upstream's coordinator. If two hosts ever hold
+    a permit for one upstream, a crash there has two suspects and proves
+    nothing: detection takes longer, but no innocent request is blamed.
     """
 
     def __init__(self) -> None:
@@ -204,7 +216,7 @@
     def ask(
         self, upstream: str, holder: str, until: float, now: float
     ) -> bool:
-        """Give a permit to ``holder``, unless another has it."""
+        """Grant or renew a permit, unless another holder has it."""
         held = self.held.get(upstream)
         if held is not None and held.until > now and held.holder != holder:
             return False
@@ -212,7 +224,7 @@
         return True
 
     def done(self, upstream: str, holder: str) -> None:
-        """Take a permit back."""
+        """Release a permit, if ``holder`` still has it."""
         held = self.held.get(upstream)
         if held is not None and held.holder == holder:
             del self.held[upstream]
