--- a/camphortray/suspects.py
+++ b/camphortray/suspects.py
@@ -1,4 +1,4 @@
-"""Keeps requests that may crash upstreams apart, over all hosts."""
+"""Isolates requests suspected of crashing upstreams, across all hosts."""
 
 __all__ = ["ApartAnswer", "ApartAsk", "ApartDone", "Flight", "Suspects"]
 
@@ -27,21 +27,21 @@
 CRASH = "poison-crash"
 CLEARED = "poison-cleared"
 QUARANTINE = "poison-quarantine"
-# What a decision waits beyond the time that reports need, in seconds.
-PAUSE_S = 0.1
-# A coordinator takes a permit back after this long at the latest.
-PERMIT_S = 120.0
-# Upstreams whose coordinators are asked in one turn; with one turn at a
-# time on a host, that bounds the messages however many suspects wait.
+# Margin, in seconds, after the time that reports need to reach all hosts.
+SETTLE_MARGIN_S = 0.1
+# Longest duration of a permit.
+MAX_PERMIT_S = 120.0
+# Upstreams whose coordinators one suspect asks for a permit. As suspects on
+# a host ask in turn, this limits the messages however many are waiting.
 MAX_ASKED = 3
-# Fingerprints in one fact, which has a largest size.
-PER_FACT = 128
+# Most fingerprints in one fact, as the size of a fact is limited.
+FINGERPRINTS_PER_FACT = 128
 
 
 @messages.message("apart.ask")
 @dataclasses.dataclass(frozen=True, slots=True)
 class ApartAsk:
-    """Asks an upstream's coordinator for leave to run a suspect there."""
+    """Requests a permit for a suspect from an upstream's coordinator."""
 
     upstream: str
     holder: str
@@ -59,7 +59,7 @@
 @messages.message("apart.done")
 @dataclasses.dataclass(frozen=True, slots=True)
 class ApartDone:
-    """Gives a permit back."""
+    """Releases a permit."""
 
     upstream: str
     holder: str
@@ -67,12 +67,12 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class CrashReport:
-    """What one host saw of a crash; the value of a fact.
+    """One host's report of a crash; the value of a fact.
 
     Attributes:
-      upstream: What crashed.
-      at: When, wall-clock seconds.
-      suspects: Fingerprints of what this host had in flight there.
+      upstream: Name of the upstream that crashed.
+      at: Time in wall-clock seconds.
+      suspects: Fingerprints of the host's requests in flight there.
     """
 
     upstream: str
@@ -82,12 +82,12 @@
 
 @dataclasses.dataclass(eq=False, slots=True)
 class Flight:
-    """A request at an upstream.
+    """A request in flight at an upstream.
 
     Attributes:
-      upstream: Where.
-      fingerprint: Gives the request's fingerprint; it is worked out only
-        when something breaks.
+      upstream: Upstream that it was sent to.
+      fingerprint: Returns the request's fingerprint; called only when a
+        connection breaks.
     """
 
     upstream: engine.Upstream
@@ -96,12 +96,21 @@
 
 @kernel.PARTS.register("entry", "batch")
 class Suspects(kernel.Part):
-    """Requests in flight, crashes of upstreams, and what follows.
+    """Tracks requests in flight, detects crashes and isolates suspects.
 
-    For whoever sends requests: ``verdict`` before each try; ``begin`` and
-    ``end`` around it; ``broke`` when its connection breaks; ``passed``
-    when it went well. A suspect takes its ``turn`` and needs ``acquire``
-    before it is begun.
+    A sender of requests calls ``verdict`` before each attempt, ``begin``
+    and ``end`` around it, ``broke`` if its connection breaks and ``passed``
+    if it succeeds. A suspect first has to hold ``turn`` and to get an
+    upstream from ``acquire``.
+
+    Attributes:
+      book: Crashes and quarantines known to this host.
+      permits: Permits for the upstreams that this host coordinates.
+      turn: Held while a suspect asks for a permit.
+      asked: Coordinators asked for permits, by upstream and holder.
+      flights: Requests in flight, by upstream.
+      breaking: Fingerprints in flight at upstreams that are being checked.
+      checks: Running crash checks, by upstream.
     """
 
     name: ClassVar[str] = "suspects"
@@ -148,28 +157,29 @@
 
     @property
     def quiet(self) -> bool:
-        """Whether no request at all is under suspicion."""
+        """Whether no request is suspect or quarantined."""
         return not self.book.crashes and not self.book.quarantined
 
     def begin(
         self, upstream: engine.Upstream, fingerprint: Callable[[], str]
     ) -> Flight:
-        """Note that a request is sent to an upstream."""
+        """Record that a request is sent to an upstream."""
         flight = Flight(upstream, fingerprint)
         self.flights.setdefault(upstream.name, set()).add(flight)
         return flight
 
     def end(self, flight: Flight) -> None:
-        """Note that a request has left its upstream."""
+        """Record that a request is no longer at its upstream."""
         self.flights[flight.upstream.name].discard(flight)
 
     async def broke(self, flight: Flight) -> bool:
-        """Return whether a broken connection means a crash.
+        """Return whether a broken connection was due to a crash.
 
-        A new connection is tried: refused, or met by an engine that has
-        started anew, it was a crash, and all that was in flight there is
-        suspect. Answered by the same engine, it was only the connection.
-        No answer at all proves nothing, as the path may be cut.
+        The upstream is probed over a new connection. If that is refused, or
+        answered by a restarted engine, the engine crashed, and all requests
+        in flight there become suspects. If the same engine answers, only
+        the connection failed. No answer proves nothing, as the network may
+        be down.
         """
         name = flight.upstream.name
         broken = self.breaking.setdefault(name, set())
@@ -192,17 +202,21 @@
         if found not in (probe.REFUSED, probe.RESTARTED):
             return False
         if upstream.name in self.upstreams.leaving.marked:
-            # It said that it would go, so its end accuses nobody.
+            # It announced its shutdown, so this is no crash.
             return False
-        LOG.warning("{} crashed, {} suspects.", upstream.name, len(suspects))
+        LOG.warning(
+            "Upstream {} crashed with {} requests in flight.",
+            upstream.name,
+            len(suspects),
+        )
         self.context.metrics.inc(
             "upstream_crashes_total",
             "Crashes of upstreams that this program saw.",
             {"upstream": upstream.name},
         )
         names = sorted(suspects)
-        for start in range(0, len(names), PER_FACT):
-            part = names[start : start + PER_FACT]
+        for start in range(0, len(names), FINGERPRINTS_PER_FACT):
+            part = names[start : start + FINGERPRINTS_PER_FACT]
             self.members.publish(
                 CRASH,
                 f"{upstream.name}/{self.members.own_name}/{at:.3f}/{start}",
@@ -213,14 +227,14 @@
         return True
 
     async def publish_quarantined(self, suspects: set[str]) -> None:
-        """Tell later hosts too of what a crash here has proved."""
-        await asyncio.sleep(poison.SETTLE_S + PAUSE_S)
+        """Publish quarantines, also for hosts that join later."""
+        await asyncio.sleep(poison.SETTLE_S + SETTLE_MARGIN_S)
         now = self.clock.wall()
         self.book.decide(now)
         for name in suspects & set(self.book.quarantined):
             until = self.book.quarantined[name]
             if f"{QUARANTINE} {name}" not in self.members.facts:
-                LOG.warning("{} is quarantined.", name)
+                LOG.warning("Request {} is quarantined.", name)
                 self.context.metrics.inc(
                     "requests_quarantined_total",
                     "Requests that this host found to crash upstreams.",
@@ -229,44 +243,44 @@
                 self.members.publish(QUARANTINE, name, until, until - now)
 
     def passed(self, fingerprint: str) -> None:
-        """Clear a suspect that went on well past where it was."""
+        """Clear a suspect that has got past the point of the crash."""
         self.members.publish(
             CLEARED, fingerprint, self.clock.wall(), poison.SUSPECT_S
         )
 
     def on_crash(self, fact: membership.Fact) -> None:
-        """Take a host's report of a crash."""
+        """Process a host's report of a crash."""
         try:
-            told = msgspec.convert(fact.value, CrashReport)
+            report = msgspec.convert(fact.value, CrashReport)
         except msgspec.ValidationError as error:
-            LOG.error("Cannot read {}: {}", fact.key, error)
+            LOG.error("Invalid crash report {}: {}", fact.key, error)
             return
-        self.book.report(told.upstream, told.at, set(told.suspects))
+        self.book.report(report.upstream, report.at, set(report.suspects))
 
     def on_cleared(self, fact: membership.Fact) -> None:
-        """Take the word that a request went well."""
+        """Process a host's report that a suspect succeeded."""
         self.book.clear(fact.key, float(fact.value))
 
     def on_quarantine(self, fact: membership.Fact) -> None:
-        """Take a quarantine that another host has found proved."""
+        """Adopt a quarantine published by any host."""
         self.book.quarantined.setdefault(fact.key, float(fact.value))
 
     async def on_ask(self, sender: peers.Sender, ask: ApartAsk) -> ApartAnswer:
-        """Answer as the coordinator of an upstream."""
+        """Answer a request for a permit, as an upstream's coordinator."""
         return ApartAnswer(self.grant(ask))
 
     async def on_done(self, sender: peers.Sender, done: ApartDone) -> None:
-        """Take a permit back as the coordinator."""
+        """Release a permit, as an upstream's coordinator."""
         self.permits.done(done.upstream, done.holder)
 
     def grant(self, ask: ApartAsk) -> bool:
-        """Give a permit, if no other suspect is there."""
+        """Grant a permit, unless another suspect has it."""
         now = self.clock.monotonic()
-        until = now + min(ask.seconds, PERMIT_S)
+        until = now + min(ask.seconds, MAX_PERMIT_S)
         return self.permits.ask(ask.upstream, ask.holder, until, now)
 
     def coordinator(self, upstream: str) -> configs.Address | None:
-        """Return where permits of an upstream are had; None is here."""
+        """Return an upstream's coordinator; None means this host."""
         members = {m.name: m for m in self.members.live("entry")}
         name = shards.preferred(f"apart/{upstream}", members)
         if name is None or name == self.members.own_name:
@@ -276,12 +290,12 @@
     async def acquire(
         self, service: settings.Service, holder: str, seconds: float
     ) -> engine.Upstream | None:
-        """Return an upstream on which a suspect may run now, if there is.
+        """Return an upstream with a permit for a suspect, or None.
 
         Args:
-          service: Whose upstreams.
-          holder: Unique name of the try.
-          seconds: Longest time that the permit is wanted for.
+          service: Service whose upstreams are asked for.
+          holder: Unique name of the attempt.
+          seconds: Longest time for which the permit is needed.
         """
         found = self.upstreams.candidates(service, frozenset())
         found.sort(key=lambda candidate: candidate.wait_s)
@@ -291,13 +305,13 @@
                 if await self.ask(ApartAsk(name, holder, seconds)):
                     return candidate.upstream
             except asyncio.CancelledError:
-                # The answer on its way may grant what nobody gives back.
+                # The answer may still grant the permit.
                 self.release(name, holder)
                 raise
         return None
 
     async def ask(self, ask: ApartAsk) -> bool:
-        """Ask the coordinator of an upstream."""
+        """Ask an upstream's coordinator for a permit."""
         address = self.coordinator(ask.upstream)
         if address is None:
             return self.grant(ask)
@@ -305,8 +319,8 @@
         try:
             answer: Any = await self.peers.ask(address, ask)
         except errors.CamphortrayError as error:
-            # It may have been granted, and only the answer be lost.
-            LOG.debug("No permit: {}", error)
+            # The permit may have been granted and only the answer lost.
+            LOG.debug("Cannot get a permit: {}", error)
             self.release(ask.upstream, ask.holder)
             return False
         granted = isinstance(answer, ApartAnswer) and answer.granted
@@ -315,10 +329,10 @@
         return granted
 
     def release(self, upstream: str, holder: str) -> None:
-        """Give a permit back."""
-        # Another may coordinate by now; the permit lies where it was asked.
-        here = self.coordinator(upstream)
-        address = self.asked.pop((upstream, holder), here)
+        """Release a permit."""
+        # The coordinator may have changed since the permit was granted.
+        current = self.coordinator(upstream)
+        address = self.asked.pop((upstream, holder), current)
         if address is None:
             self.permits.done(upstream, holder)
         else:
