--- a/camphortray/isolation.py
+++ b/camphortray/isolation.py
@@ -1,4 +1,4 @@
-"""Keeps items that may crash upstreams apart from others."""
+"""Isolates batch items suspected of crashing upstreams."""
 
 __all__ = ["Isolation", "fingerprint"]
 
@@ -19,19 +19,18 @@
 from camphortray import suspects as suspects_module
 from camphortray import tasks
 
-# Time for which a suspect gets an upstream for itself, in seconds; asked
-# for again at half of it. A permit whose holder is lost keeps the other
-# suspects waiting for this long.
-APART_S = 5.0
+# Duration of a permit, which is renewed after half of it. If its holder is
+# lost, other suspects wait for this long.
+PERMIT_S = 5.0
 
 
 class Isolation:
-    """Which items may run beside which, and whom a crash accuses.
+    """Decides which items run alone and which a crash counts against.
 
     Attributes:
-      suspects: What the fleet knows.
-      busy: Items of this host on each upstream.
-      reserved: Upstreams on which a suspect of this host runs alone.
+      suspects: Crashes and suspects known to the fleet.
+      busy: Number of this host's items on each upstream.
+      reserved: Upstreams reserved for a suspect of this host.
     """
 
     def __init__(self, context: kernel.Context) -> None:
@@ -43,7 +42,7 @@
 
     @contextlib.contextmanager
     def count(self, upstream: str) -> Iterator[None]:
-        """Count an item on an upstream while it is there."""
+        """Count an item as running on an upstream within the context."""
         self.busy[upstream] += 1
         try:
             yield
@@ -54,28 +53,31 @@
     def verdict(
         self, service: settings.Service, path: str, item: jobqueue.Item
     ) -> poison.Verdict:
-        """Return how an item may run, by what the fleet and the log say."""
+        """Return how an item may run, by the fleet's reports and the log."""
         if item.crashes:
-            # As the log has it: a host that took over knows nothing else.
-            known = poison.Verdict(poison.Standing.APART)
+            # After a takeover the log is this host's only source.
+            logged = poison.Verdict(poison.Standing.APART)
         else:
-            known = poison.FREE
+            logged = poison.FREE
         if self.suspects.quiet:
-            return known
-        told = self.suspects.verdict(service, fingerprint(path, item))
-        return known if told.standing is poison.Standing.FREE else told
+            return logged
+        reported = self.suspects.verdict(service, fingerprint(path, item))
+        return (
+            logged if reported.standing is poison.Standing.FREE else reported
+        )
 
     @contextlib.asynccontextmanager
     async def apart(self, upstream: str, holder: str) -> AsyncIterator[bool]:
-        """Keep an upstream free of other suspects and of our own items.
+        """Reserve an upstream for a suspect.
 
-        Were another there when the suspect crashes the upstream, both
-        would look alike, and an innocent item could end as poison.
+        No other suspect of the fleet and no other item of this host runs
+        there meanwhile. If it crashed with two of them in flight, they could
+        not be told apart, and an innocent item could be taken for poison.
 
         Yields:
-          Whether there is leave; no other suspect of the fleet is there.
+          Whether the permit was granted.
         """
-        ask = suspects_module.ApartAsk(upstream, holder, APART_S)
+        ask = suspects_module.ApartAsk(upstream, holder, PERMIT_S)
         renewal: asyncio.Task[None] | None = None
         granted = True
         try:
@@ -94,19 +96,19 @@
             if renewal is not None:
                 renewal.cancel()
             if granted:
-                # Also when stopped while it asked: the answer on its way
-                # may grant what nobody else would give back.
+                # Also if cancelled while asking, as the answer may still
+                # grant the permit.
                 self.suspects.release(upstream, holder)
 
     async def renew(self, ask: suspects_module.ApartAsk) -> None:
-        """Ask again for a permit in use, for ever."""
+        """Renew a permit until cancelled."""
         while True:
-            await asyncio.sleep(APART_S / 2)
+            await asyncio.sleep(PERMIT_S / 2)
             await self.suspects.ask(ask)
 
     @contextlib.asynccontextmanager
     async def alone(self, upstream: str) -> AsyncIterator[None]:
-        """Wait until no other item of this host is on an upstream."""
+        """Reserve an upstream once this host's other items have left it."""
         while upstream in self.reserved:
             await self.wait_left()
         self.reserved.add(upstream)
@@ -119,15 +121,16 @@
             self.left.set()
 
     async def wait_left(self) -> None:
-        """Wait until an item leaves an upstream."""
+        """Wait until an item leaves any upstream."""
         self.left.clear()
         await self.left.wait()
 
     def to_blame(self, item: jobqueue.Item, upstream: str, name: str) -> bool:
         """Return whether a crash of its upstream counts against an item.
 
-        Not against one that was beside a suspect; nor a second time if
-        others crash now without it, as when a zone is lost.
+        A first crash does not if a suspect was running there. A further one
+        does not if other upstreams crash now without the item, as in the
+        loss of a zone.
         """
         if not item.crashes:
             return upstream not in self.reserved
@@ -143,13 +146,14 @@
 
 
 def fingerprint(path: str, item: jobqueue.Item) -> str:
-    """Return what tells an item's request from others.
+    """Return the fingerprint of an item's request.
 
-    One that could not be sent online gets a text of its own.
+    It equals that of the same request sent online; one that would be refused
+    online gets a fingerprint of its own.
     """
     line, _ = job_reader.parse_line(item.line)
     try:
-        asked = completion.parse(path, bytes(line.body))
+        request = completion.parse(path, bytes(line.body))
     except errors.Refused:
         return f"{item.job}-{item.index}"
-    return poison.fingerprint(asked.model, asked.text)
+    return poison.fingerprint(request.model, request.text)
