--- a/camphortray/crash_counter.py
+++ b/camphortray/crash_counter.py
@@ -1,42 +1,42 @@
-"""Requests at which engines broke off again and again."""
+"""Counts how often a request was in flight when an engine crashed."""
 
 __all__ = ["CrashCounter"]
 
-# Crashes at which a request counts as the cause. Engines that crash take
-# other requests with them, and some lose an answer now and then: one
-# request meets three of these by chance about never.
-MOST_BREAKS = 3
-# Seconds for which a break is remembered.
+# Crashes after which a request is considered the cause. A crash also breaks
+# other requests of the engine, and engines lose a response now and then, but
+# an innocent request almost never meets three of these by chance.
+MAX_CRASHES = 3
+# Time for which a crash is counted.
 KEEP_S = 300.0
-# Requests remembered, the oldest are dropped first.
+# Requests remembered; the least recently crashed are dropped first.
 MAX_REQUESTS = 10_000
 
 
 class CrashCounter:
-    """Counts breaks by what tells a request from others."""
+    """Counts crashes by request fingerprint."""
 
     def __init__(self) -> None:
-        self.breaks: dict[str, dict[str, float]] = {}
+        self.crashes: dict[str, dict[str, float]] = {}
 
     def note(self, fingerprint: str, name: str, now: float) -> None:
-        """Take note of a break.
+        """Record a crash.
 
         Args:
-          fingerprint: Of the request.
-          name: Unique for each break, however often it is told.
-          now: Present time.
+          fingerprint: Fingerprint of the request.
+          name: Unique name of the crash; repeated reports count once.
+          now: Current time.
         """
-        held = self.breaks.pop(fingerprint, {})
+        held = self.crashes.pop(fingerprint, {})
         held.setdefault(name, now)
-        self.breaks[fingerprint] = held
-        while len(self.breaks) > MAX_REQUESTS:
-            del self.breaks[next(iter(self.breaks))]
+        self.crashes[fingerprint] = held
+        while len(self.crashes) > MAX_REQUESTS:
+            del self.crashes[next(iter(self.crashes))]
 
     def count(self, fingerprint: str, now: float) -> int:
-        """Return the breaks that still count."""
-        held = self.breaks.get(fingerprint, {})
+        """Return the number of recent crashes of a request."""
+        held = self.crashes.get(fingerprint, {})
         return sum(now - at < KEEP_S for at in held.values())
 
     def barred(self, fingerprint: str, now: float) -> bool:
-        """Return whether a request is not to be run again."""
-        return self.count(fingerprint, now) >= MOST_BREAKS
+        """Return whether a request must not be run again."""
+        return self.count(fingerprint, now) >= MAX_CRASHES
