--- a/camphortray/crash_counter.py
+++ b/camphortray/crash_counter.py
@@ -13,7 +13,7 @@
 
 
 class CrashCounter:
-    """Counts crashes by request fingerprint."""
+    """Counts crashes, seen as broken responses, by request fingerprint."""
 
     def __init__(self) -> None:
         self.crashes: dict[str, dict[str, float]] = {}
--- a/camphortray/crash_reports.py
+++ b/camphortray/crash_reports.py
@@ -1,4 +1,4 @@
-"""Crashes of engines at requests, counted over all hosts."""
+"""Shares reports of engine crashes among all hosts."""
 
 __all__ = ["CrashReports"]
 
@@ -8,15 +8,15 @@
 from camphortray import kernel
 from camphortray import membership
 
-BREAK = "request-break"
+CRASH = "request-break"
 
 
 @kernel.PARTS.register("host")
 class CrashReports(kernel.Part):
-    """Crashes at all requests, over all hosts.
+    """Publishes crashes by request and counts those of all hosts.
 
     Attributes:
-      book: What is known here.
+      counter: Crashes reported to this host.
     """
 
     name: ClassVar[str] = "breaks"
@@ -25,23 +25,23 @@
     def __init__(self, context: kernel.Context) -> None:
         self.clock = context.clock
         self.members = context.part(membership.Membership)
-        self.book = crash_counter.CrashCounter()
-        self.members.on_fact(BREAK, self.on_break)
+        self.counter = crash_counter.CrashCounter()
+        self.members.on_fact(CRASH, self.on_crash)
 
     @classmethod
     def from_config(cls, context: kernel.Context) -> "CrashReports":
         return cls(context)
 
-    def on_break(self, fact: membership.Fact) -> None:
-        """Take note of a break at any host."""
+    def on_crash(self, fact: membership.Fact) -> None:
+        """Count a crash reported by any host."""
         fingerprint, _, name = fact.key.partition("/")
-        self.book.note(fingerprint, name, self.clock.monotonic())
+        self.counter.note(fingerprint, name, self.clock.monotonic())
 
     def report(self, fingerprint: str, name: str) -> None:
-        """Tell all hosts of a break."""
+        """Report a crash to all hosts, this one included."""
         key = f"{fingerprint}/{name}"
-        self.members.publish(BREAK, key, 1, crash_counter.KEEP_S)
+        self.members.publish(CRASH, key, 1, crash_counter.KEEP_S)
 
     def barred(self, fingerprint: str) -> bool:
-        """Return whether a request is not to be run again."""
-        return self.book.barred(fingerprint, self.clock.monotonic())
+        """Return whether a request must not be run again."""
+        return self.counter.barred(fingerprint, self.clock.monotonic())
