--- a/camphortray/grouping.py
+++ b/camphortray/grouping.py
@@ -1,8 +1,8 @@
-"""Groups what is to be appended, so that the fleet keeps to its budget.
+"""Groups items into appends, to keep to the fleet's append budget.
 
-The log takes a few hundred appends a second from all hosts together. Each
-writer therefore appends once an interval at most, and the interval grows
-with the number of writers.
+The log accepts a few hundred appends a second from all hosts together. Each
+writer therefore appends at most once per interval, which grows with the
+number of writers.
 """
 
 __all__ = [
@@ -25,23 +25,23 @@
 # Share of the budget for grouped appends; the rest is for ownership,
 # settings, snapshots and records that cannot wait.
 GROUPED_SHARE = 0.8
-# Results of items for which an append is worth its price, and the longest
-# that one waits for others, in seconds. A lost host runs again what it had
-# not written; at 32 items a second in a shard this keeps under 0.02
-# appends an item (bench/appends.py).
+# Item results at which a group is appended, and the longest time that a
+# result waits for it. Items whose results a lost host had not written run
+# again; at 32 items a second in a shard these values keep under 0.02 appends
+# per item (bench/appends.py).
 RESULTS_TARGET = 64
 RESULTS_DELAY_S = 2.0
-# Bytes of a record left for what encloses the items.
+# Bytes of a record reserved for the envelope of the items.
 OVERHEAD_BYTES = 1024
 
 
 def flush_interval(writers: int, budget: float, min_flush_s: float) -> float:
-    """Return seconds from one append of a writer to its next.
+    """Return the seconds between two appends of a writer.
 
     Args:
-      writers: Streams, over the whole fleet, in which somebody may now
-        group appends; each stream has one such host at a time.
-      budget: Appends a second for the whole fleet.
+      writers: Number of streams of the fleet with grouped appends; each
+        stream has one writer at a time.
+      budget: Appends a second of the whole fleet.
       min_flush_s: Shortest interval.
 
     >>> flush_interval(24, 300.0, 0.05)
@@ -52,13 +52,13 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Limits:
-    """When a group is full enough.
+    """Limits on the size and the delay of a group.
 
     Attributes:
-      interval_s: From one append to the next.
+      interval_s: Shortest time between two appends.
       record_bytes: Most bytes of items in one append.
-      target: Items for which it is worth to append; fewer wait on.
-      max_delay_s: Longest that an item waits for others.
+      target: Number of items at which a group is appended.
+      max_delay_s: Longest time that an item waits for a full group.
     """
 
     interval_s: float
@@ -73,7 +73,7 @@
         target: int = 1,
         max_delay_s: float = 0.0,
     ) -> "Limits":
-        """Build for a deployment: every shard may have a writer."""
+        """Return the limits of a deployment with a writer in every shard."""
         streams, count = config.streams, config.shards
         return cls(
             flush_interval(
@@ -89,7 +89,13 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Waiting(Generic[T]):
-    """An item that waits to be appended."""
+    """An item waiting to be appended.
+
+    Attributes:
+      item: The item.
+      size: Encoded size in bytes.
+      since: Time at which it was added.
+    """
 
     item: T
     size: int
@@ -97,10 +103,13 @@
 
 
 class Grouper(Generic[T]):
-    """Items of one stream that wait to be appended together.
+    """Items of one stream waiting to be appended together.
 
     Attributes:
-      bytes: Bytes waiting.
+      waiting: Items in the order of their addition.
+      bytes: Total size of the waiting items.
+      urgent: Whether to append without waiting for a full group.
+      next_at: Earliest time of the next append.
     """
 
     def __init__(self, limits: Limits) -> None:
@@ -119,17 +128,18 @@
         """Add an item.
 
         Args:
-          item: What to append.
-          size: Its bytes when encoded.
-          now: Monotonic seconds.
-          urgent: Whether somebody waits for it, e.g. as a job's last.
+          item: Item to append.
+          size: Encoded size in bytes.
+          now: Current time in monotonic seconds.
+          urgent: Whether to append at the next interval, e.g. as it is the
+            last of a job.
         """
         self.waiting.append(Waiting(item, size, now))
         self.bytes += size
         self.urgent = self.urgent or urgent
 
     def wait_s(self, now: float) -> float | None:
-        """Return seconds until the next append, or None if none is due."""
+        """Return the seconds until the next append, or None if empty."""
         if not self.waiting:
             return None
         limits = self.limits
@@ -142,18 +152,21 @@
         return max(due_at - now, self.next_at - now, 0.0)
 
     def take(self, now: float) -> list[T]:
-        """Return the items of one append, at least one if any waits."""
-        taken: list[T] = []
+        """Remove and return the items of one append.
+
+        An item larger than the limit forms a group of its own.
+        """
+        group: list[T] = []
         size = 0
         while self.waiting:
             entry = self.waiting[0]
-            if taken and size + entry.size > self.limits.record_bytes:
+            if group and size + entry.size > self.limits.record_bytes:
                 break
             self.waiting.popleft()
             size += entry.size
-            taken.append(entry.item)
+            group.append(entry.item)
         self.bytes -= size
         self.urgent = self.urgent and bool(self.waiting)
-        if taken:
+        if group:
             self.next_at = now + self.limits.interval_s
-        return taken
+        return group
--- a/tests/test_grouping.py
+++ b/tests/test_grouping.py
@@ -1,4 +1,4 @@
-"""Tests of grouping: the fleet's budget, record sizes, delays."""
+"""Tests of grouped appends: append budget, record sizes and delays."""
 
 import pytest
 
@@ -8,7 +8,9 @@
 @pytest.mark.parametrize(
     ("writers", "expected"), [(0, 0.05), (12, 0.05), (24, 0.1), (390, 1.625)]
 )
-def test_the_fleet_keeps_to_its_budget(writers, expected):
+def test_the_flush_interval_keeps_the_fleet_within_its_budget(
+    writers, expected
+):
     interval = grouping.flush_interval(writers, 300.0, 0.05)
     assert interval == expected
     assert writers / interval <= 300.0
@@ -23,7 +25,7 @@
 @pytest.mark.parametrize(
     ("made", "items", "expected"),
     [
-        # items are (size, at, urgent); then the wait seen at 0.5 s
+        # Items are (size, at, urgent); expected is the wait at 0.5 s.
         (limits(), [], None),
         (limits(), [(1, 0.0, False)], 0.0),
         (limits(target=2, max_delay_s=2.0), [(1, 0.0, False)], 1.5),
@@ -32,23 +34,23 @@
         (limits(target=2, max_delay_s=2.0), [(1, 0.0, False)] * 2, 0.0),
     ],
 )
-def test_waits(made, items, expected):
+def test_wait_until_the_next_append(made, items, expected):
     grouper = grouping.Grouper(made)
     for size, at, urgent in items:
         grouper.add("x", size, at, urgent)
     assert grouper.wait_s(0.5) == expected
 
 
-def test_groups_stay_under_the_record_limit_and_apart_in_time():
+def test_groups_keep_to_the_record_limit_and_the_flush_interval():
     grouper = grouping.Grouper(limits())
     for number, size in enumerate((60, 60, 500, 30, 30)):
         grouper.add(number, size, 0.0)
-    taken = []
+    appends = []
     now = 0.0
     while len(grouper):
         now += grouper.wait_s(now)
-        taken.append((now, grouper.take(now)))
-    assert taken == [
+        appends.append((now, grouper.take(now)))
+    assert appends == [
         (0.0, [0]),
         (1.0, [1]),
         (2.0, [2]),
