--- a/camphortray/ring.py
+++ b/camphortray/ring.py
@@ -1,4 +1,4 @@
-"""Which hosts stand beside each host, by rendezvous hash."""
+"""Neighbours of each host, by rendezvous hashing."""
 
 __all__ = ["Ring", "score"]
 
@@ -8,19 +8,19 @@
 
 
 def score(target: str, host: str) -> int:
-    """Return the weight of ``host`` for ``target``; the highest win."""
+    """Return the rendezvous weight of ``host`` for ``target``."""
     return xxhash.xxh3_64_intdigest(f"{target} {host}".encode())
 
 
 class Ring:
-    """The hosts with the highest scores for each host, kept up to date.
+    """The hosts with the highest scores for each host, its neighbours.
 
-    A host that comes or goes moves only the places it takes or held, and
-    costs one pass over the hosts rather than over all pairs.
+    Adding or removing a host changes only the neighbour lists that it enters
+    or leaves, and costs one pass over the hosts rather than over all pairs.
 
     Attributes:
-      count: Places beside each host.
-      tops: By host, pairs of score and host, highest first.
+      count: Number of neighbours of each host.
+      tops: Pairs of score and neighbour by host, highest score first.
     """
 
     def __init__(self, count: int) -> None:
@@ -32,36 +32,36 @@
         if host in self.tops:
             return
         for target, top in self.tops.items():
-            place = (score(target, host), host)
-            if len(top) < self.count or place > top[-1]:
-                top.append(place)
+            scored = (score(target, host), host)
+            if len(top) < self.count or scored > top[-1]:
+                top.append(scored)
                 top.sort(reverse=True)
                 del top[self.count :]
         self.tops[host] = self.best(host)
 
     def remove(self, host: str) -> None:
-        """Take a host out."""
+        """Remove a host."""
         if self.tops.pop(host, None) is None:
             return
         for target, top in self.tops.items():
-            if any(held == host for _, held in top):
+            if any(neighbour == host for _, neighbour in top):
                 self.tops[target] = self.best(target)
 
     def best(self, target: str) -> list[tuple[int, str]]:
-        """Return the places beside a host, from scratch."""
+        """Compute the scored neighbours of a host from all hosts."""
         others = (
             (score(target, host), host) for host in self.tops if host != target
         )
         return heapq.nlargest(self.count, others)
 
     def beside(self, host: str) -> list[str]:
-        """Return the hosts beside a host."""
-        return [held for _, held in self.tops.get(host, [])]
+        """Return the neighbours of a host."""
+        return [neighbour for _, neighbour in self.tops.get(host, [])]
 
     def watched_by(self, host: str) -> list[str]:
-        """Return the hosts that ``host`` stands beside."""
+        """Return the hosts that have ``host`` as a neighbour."""
         return [
             target
             for target, top in self.tops.items()
-            if any(held == host for _, held in top)
+            if any(neighbour == host for _, neighbour in top)
         ]
