--- a/camphortray/backends.py
+++ b/camphortray/backends.py
@@ -1,4 +1,4 @@
-"""The backends as one part: log, host list, weights, upstreams."""
+"""Plug-ins for the platform's services, bundled as one part."""
 
 __all__ = ["Backends", "LedgerBackends", "Parties"]
 
@@ -15,15 +15,17 @@
 from camphortray import service
 from camphortray import weights
 
-# Named, not imported: the program ``host`` needs none of them.
-BUILT_IN = "camphortray.plugins"
+# Loaded by name rather than imported, as the program ``host`` does not need
+# the built-in plug-ins.
+BUILT_IN_MODULE = "camphortray.plugins"
 
 
 class Parties(kernel.Part):
-    """The plug-ins that every program needs.
+    """Plug-ins needed by every program.
 
     Attributes:
       hosts: The platform's host list.
+      engines: Engine plug-ins in use, by name.
     """
 
     name: ClassVar[str] = "backends"
@@ -34,35 +36,35 @@
         self.engines: dict[str, engine.Engine] = {}
 
     def engine(self, plugin: str) -> engine.Engine:
-        """Return the engine plug-in of that name, made on first use."""
+        """Return the engine plug-in of that name; create it on first use."""
         if plugin not in self.engines:
             self.engines[plugin] = engine.ENGINES.get(plugin).from_config()
         return self.engines[plugin]
 
     async def stop(self) -> None:
         await self.hosts.close()
-        for made in self.engines.values():
-            await made.close()
+        for plugin in self.engines.values():
+            await plugin.close()
 
 
 @kernel.PARTS.register("host")
 class LedgerBackends(Parties):
-    """The backends of a host whose platform offers a ledger.
+    """Plug-ins of a host on a platform with a ledger.
 
     Attributes:
-      ledger: Keyed records with fenced writers.
-      dialect: Reads what others keep there.
+      ledger: Store of keyed records with fenced writers.
+      dialect: Decodes records of the platform and the engines.
     """
 
     def __init__(self, context: kernel.Context) -> None:
         super().__init__()
         registry.load_modules(context.config.plugins)
-        told = context.config.ledger
-        if told is None:
-            raise errors.PluginError("no ledger is set", step="load")
-        self.ledger = ledgers.LEDGERS.get(told.plugin).from_config(told)
+        config = context.config.ledger
+        if config is None:
+            raise errors.PluginError("no ledger is configured", step="load")
+        self.ledger = ledgers.LEDGERS.get(config.plugin).from_config(config)
         self.hosts = hostlist.LedgerHostList(self.ledger)
-        self.dialect = dialects.DIALECTS.get(told.plugin).from_config(told)
+        self.dialect = dialects.DIALECTS.get(config.plugin).from_config(config)
 
     @classmethod
     def from_config(cls, context: kernel.Context) -> "LedgerBackends":
@@ -75,17 +77,18 @@
 
 @kernel.PARTS.register("entry", "batch")
 class Backends(Parties):
-    """Holds one plug-in for each backend.
+    """Plug-ins of a host on a platform with a log.
 
     Attributes:
       log: The platform's log.
-      weights: The weight store, or None if none is set.
+      weights: The weight store, or None if not configured.
+      services: Service plug-ins in use, by name.
     """
 
     def __init__(self, context: kernel.Context) -> None:
         super().__init__()
         config = context.config
-        registry.load_modules((BUILT_IN, *config.plugins))
+        registry.load_modules((BUILT_IN_MODULE, *config.plugins))
         list_class = hostlist.HOST_LISTS.get(config.hostlist.plugin)
         self.hosts = list_class.from_config(config.hostlist)
         log_class = log.LOG_SERVICES.get(config.log.plugin)
@@ -101,7 +104,7 @@
         return cls(context)
 
     def service(self, plugin: str) -> service.Service:
-        """Return the service plug-in of that name, made on first use."""
+        """Return the service plug-in of that name; create it on first use."""
         if plugin not in self.services:
             cls = service.SERVICES.get(plugin)
             self.services[plugin] = cls.from_config()
@@ -112,5 +115,5 @@
         await self.log.close()
         if self.weights is not None:
             await self.weights.close()
-        for plain in self.services.values():
-            await plain.close()
+        for plugin in self.services.values():
+            await plugin.close()
