--- a/tests/test_experiments.py
+++ b/tests/test_experiments.py
@@ -1,4 +1,4 @@
-"""Each switch for ablations changes its one decision, and is on by default."""
+"""Tests that each switch for ablations changes its own decision only."""
 
 import dataclasses
 import pathlib
@@ -25,103 +25,105 @@
 SWITCHES = [f.name for f in dataclasses.fields(configs.ExperimentsConfig)]
 
 
-def book_of(on, *slots):
-    """Return a book of engines, each in a zone of its own."""
-    book = slot_scheduler.SlotScheduler(on)
+def scheduler_of(switches, *slots):
+    """Return a scheduler with engines in different zones."""
+    scheduler = slot_scheduler.SlotScheduler(switches)
     engines = [
         slot_scheduler.EngineSlots(f"e{n}", count, f"z{n}")
         for n, count in enumerate(slots)
     ]
-    book.set_engines(engines, 0.0)
-    return book
+    scheduler.set_engines(engines, 0.0)
+    return scheduler
 
 
-def question(name, **fields):
-    """Return the want of a question."""
-    given = {"objective_s": 0.3, "left_s": 5.0, **fields}
-    return slot_scheduler.SlotRequest(name, "h", True, **given)
+def online_request(name, **fields):
+    """Return a slot request of an online request."""
+    values = {"objective_s": 0.3, "left_s": 5.0, **fields}
+    return slot_scheduler.SlotRequest(name, "h", True, **values)
 
 
 def item(name, due_at=60.0):
-    """Return the want of a batch item."""
+    """Return a slot request of a batch item."""
     return slot_scheduler.SlotRequest(
         name, "h", False, due_at=due_at, work_s=4.8, start_s=0.1
     )
 
 
-def told(decisions):
-    """Return the kinds of some decisions."""
+def kinds(decisions):
+    """Return the class names of decisions."""
     return [type(decision).__name__ for decision in decisions]
 
 
-def engines(book):
-    """Return the engines of all leases."""
-    return sorted(lease.engine for lease in book.leases.values())
+def engines(scheduler):
+    """Return the sorted engines of all leases."""
+    return sorted(lease.engine for lease in scheduler.leases.values())
 
 
-def prefix(on):
-    book = book_of(on, 4, 4)
+def prefix(switches):
+    scheduler = scheduler_of(switches, 4, 4)
     for name in "abcd":
-        book.ask(question(name, prefix="p"), 0.0)
-    return len(set(engines(book)))
+        scheduler.ask(online_request(name, prefix="p"), 0.0)
+    return len(set(engines(scheduler)))
 
 
-def zone(on):
-    book = book_of(on, 2, 8)
-    book.ask(question("a", zone="z0"), 0.0)
-    return engines(book)
+def zone(switches):
+    scheduler = scheduler_of(switches, 2, 8)
+    scheduler.ask(online_request("a", zone="z0"), 0.0)
+    return engines(scheduler)
 
 
-def after_a_burst(on):
-    """Return a book whose four slots questions have just left."""
-    book = book_of(on, 4)
+def after_a_burst(switches):
+    """Return a scheduler with four slots just freed by online requests."""
+    scheduler = scheduler_of(switches, 4)
     for name in "abcd":
-        book.ask(question(name), 0.0)
+        scheduler.ask(online_request(name), 0.0)
     for name in "abcd":
-        book.done(name, enginehealth.Outcome.GOOD, 1.0)
-    return book
+        scheduler.done(name, enginehealth.Outcome.GOOD, 1.0)
+    return scheduler
 
 
-def hold_back(on):
-    return told(after_a_burst(on).ask(item("i"), 1.01))
+def hold_back(switches):
+    return kinds(after_a_burst(switches).ask(item("i"), 1.01))
 
 
-def pressed(on):
-    book = after_a_burst(on)
+def pressed(switches):
+    scheduler = after_a_burst(switches)
     for number in range(8):
-        book.ask(item(f"i{number}", due_at=9.0), 1.01)
-    return bool(book.leases)
+        scheduler.ask(item(f"i{number}", due_at=9.0), 1.01)
+    return bool(scheduler.leases)
 
 
-def give_way(on):
-    book = book_of(on, 1)
-    book.ask(item("i"), 0.0)
-    return told(book.ask(question("a"), 0.1))
+def give_way(switches):
+    scheduler = scheduler_of(switches, 1)
+    scheduler.ask(item("i"), 0.0)
+    return kinds(scheduler.ask(online_request("a"), 0.1))
 
 
-def refuse_at_once(on):
-    book = book_of(on, 1)
-    book.ask(question("a"), 0.0)
-    asked = told(book.ask(question("b"), 0.0))
-    return asked, told(book.decide(0.2))
+def refuse_at_once(switches):
+    scheduler = scheduler_of(switches, 1)
+    scheduler.ask(online_request("a"), 0.0)
+    at_once = kinds(scheduler.ask(online_request("b"), 0.0))
+    return at_once, kinds(scheduler.decide(0.2))
 
 
-def put_aside(on):
-    book = book_of(on, 1)
-    book.ask(question("a"), 0.0)
-    book.done("a", enginehealth.Outcome.UNREACHED, 0.1)
-    book.ask(question("b", asked_at=0.1), 0.1)
-    return engines(book)
+def put_aside(switches):
+    scheduler = scheduler_of(switches, 1)
+    scheduler.ask(online_request("a"), 0.0)
+    scheduler.done("a", enginehealth.Outcome.UNREACHED, 0.1)
+    scheduler.ask(online_request("b", asked_at=0.1), 0.1)
+    return engines(scheduler)
 
 
-def spread_return(on):
-    book = book_of(on, 1)
-    return len({book.return_in(0.7, question(name)) for name in "abcd"})
+def spread_return(switches):
+    scheduler = scheduler_of(switches, 1)
+    return len(
+        {scheduler.return_in(0.7, online_request(name)) for name in "abcd"}
+    )
 
 
-def kept_connections(on):
+def kept_connections(switches):
     part = slot_client.SlotClient.__new__(slot_client.SlotClient)
-    part.experiments = on
+    part.experiments = switches
     part.active_config = types.SimpleNamespace(
         view=routemap.NOTHING, dialect=types.SimpleNamespace(plugin="p")
     )
@@ -129,32 +131,32 @@
     return part.upstream(test_engine_registry.ENTRY).max_idle
 
 
-def context_of(on):
-    """Return as much of a context as a part needs that only decides."""
+def context_of(switches):
+    """Return a minimal context, sufficient for parts that only decide."""
     return types.SimpleNamespace(
-        config=types.SimpleNamespace(experiments=on),
+        config=types.SimpleNamespace(experiments=switches),
         clock=types.SimpleNamespace(monotonic=lambda: 100.0),
         part=lambda cls: None,
     )
 
 
-def hand_over(on):
-    held = handover.Handover(context_of(on), {})
+def hand_over(switches):
+    held = handover.Handover(context_of(switches), {})
     items = types.SimpleNamespace(progress=lambda: {"job": ["progress"]})
     held.leave(types.SimpleNamespace(part=3, items=items))
     return list(held.behind)
 
 
-def peers_word(on):
+def peers_word(switches):
     part = active_config.ActiveConfig.__new__(active_config.ActiveConfig)
-    part.context = context_of(on)
+    part.context = context_of(switches)
     part.clock = part.context.clock
     part.reached_at = 90.0
     part.peers_of = lambda: ["peer"]
     return part.to_ask()
 
 
-# By switch: what is decided, with it on and off.
+# By switch: the decision, and its results with the switch on and off.
 CASES = {
     "prefix": (prefix, 1, 2),
     "zone": (zone, ["e0"], ["e1"]),
@@ -192,13 +194,13 @@
     assert changed == {name}
 
 
-def test_all_is_on_where_the_settings_say_nothing():
+def test_all_switches_are_on_by_default():
     config = configs.Config.from_toml(test_config.GOOD)
     assert config.experiments == configs.ExperimentsConfig()
     assert all(dataclasses.astuple(config.experiments))
 
 
-def test_the_deploy_file_switches_nothing_off():
+def test_the_deploy_file_turns_no_switch_off():
     roles = tomllib.loads((ROOT / "deploy/system.toml").read_text())["roles"]
     assert [role.get("env", {}) for role in roles.values()] == [{}]
 
@@ -207,13 +209,13 @@
     ("line", "key"),
     [("zone = 0", "zone"), ('zone = "no"', "zone"), ("zon = false", "zon")],
 )
-def test_wrong_switches_are_faults(line, key):
+def test_invalid_switches_are_rejected(line, key):
     text = f"{test_config.GOOD}[experiments]\n{line}\n"
     with pytest.raises(errors.ConfigError, match=rf"experiments\.{key}:"):
         configs.Config.from_toml(text)
 
 
-def test_the_platform_switches_off_what_its_variable_names(tmp_path):
+def test_the_platform_variable_names_the_switches_to_turn_off(tmp_path):
     path = tmp_path / "boot.toml"
     path.write_text(test_platform.GOOD)
     off = settings.switched_off("zone, handover")
@@ -225,7 +227,7 @@
         settings.load(str(path), 1, ("handovr",)).config()
 
 
-def test_the_platforms_own_file_switches_nothing_off(tmp_path):
+def test_the_platform_file_cannot_turn_switches_off(tmp_path):
     path = tmp_path / "boot.toml"
     path.write_text('switchedOff = ["zone"]\n' + test_platform.GOOD)
     assert settings.load(str(path)).config().experiments.zone
