--- a/tests/test_plugins.py
+++ b/tests/test_plugins.py
@@ -1,4 +1,4 @@
-"""Tests of plug-ins: found by name, also from outside the package."""
+"""Tests that plug-ins are found by name, also outside the package."""
 
 import random
 
@@ -17,7 +17,7 @@
 TAPE = TAPE.replace('"127.0.0.1:9"', '"127.0.0.1:9"\nplugin = "tape"')
 
 
-def make_outer(text, modules):
+def make_backends(text, modules):
     config = configs.Config.from_toml(f"plugins = {modules!r}\n{text}")
     context = kernel.Context(
         config,
@@ -30,18 +30,18 @@
     return backends.Backends.from_config(context)
 
 
-async def test_a_plugin_from_outside_takes_the_place_of_the_log():
-    made = make_outer(TAPE, ["tests.outside.tape"])
-    assert type(made.log).__name__ == "Tape"
-    assert made.log.address == "127.0.0.1:9"
-    assert await made.log.append("s", b"record") == 0
+async def test_an_external_plugin_replaces_the_log():
+    loaded = make_backends(TAPE, ["tests.outside.tape"])
+    assert type(loaded.log).__name__ == "Tape"
+    assert loaded.log.address == "127.0.0.1:9"
+    assert await loaded.log.append("s", b"record") == 0
 
 
-async def test_a_plugin_from_outside_speaks_to_engines():
-    made = make_outer(TAPE, ["tests.outside.tape"])
+async def test_an_external_plugin_serves_engines():
+    loaded = make_backends(TAPE, ["tests.outside.tape"])
     upstream = engine.Upstream("e", configs.Address("127.0.0.1", 1), "")
     request = engine.EngineRequest("r", "/v1/completions", b"{}", False)
-    stream = await made.engine("parrot").open(upstream, request)
+    stream = await loaded.engine("parrot").open(upstream, request)
     assert await engine.read_all(stream, 1.0) == b"{}"
 
 
@@ -52,6 +52,8 @@
         (TAPE, ["tests.outside.nowhere"], "load tests.outside.nowhere"),
     ],
 )
-def test_what_cannot_be_had_is_named(text, modules, match):
+def test_an_unknown_plugin_or_module_is_named_in_the_error(
+    text, modules, match
+):
     with pytest.raises(errors.PluginError, match=match):
-        make_outer(text, modules)
+        make_backends(text, modules)
