--- a/camphortray/enginehealth.py
+++ b/camphortray/enginehealth.py
@@ -1,6 +1,6 @@
 """Circuit breaking of engines, by the outcomes of requests sent to them."""
 
-__all__ = ["HealthBook", "Outcome", "outcome_of"]
+__all__ = ["HealthTracker", "Outcome", "outcome_of"]
 
 from collections.abc import Collection
 import dataclasses
@@ -48,7 +48,7 @@
     trial: bool = False
 
 
-class HealthBook:
+class HealthTracker:
     """Tracks which engines are ejected and which are on trial.
 
     Engines are not polled for health: polling costs a probe, and its
@@ -82,7 +82,7 @@
             return 0
         return 1 if health.trial and not whole else slots
 
-    def openings(self, now: float) -> list[float]:
+    def retry_times(self, now: float) -> list[float]:
         """Return the times at which ejected engines are tried again."""
         return [
             health.closed_until
@@ -90,7 +90,9 @@
             if health.closed_until > now
         ]
 
-    def judge(self, engine: str, outcome: Outcome, now: float) -> None:
+    def record_outcome(
+        self, engine: str, outcome: Outcome, now: float
+    ) -> None:
         """Update an engine's health from the outcome of a lease."""
         if outcome is Outcome.NOTHING:
             return
--- a/camphortray/slot_scheduler.py
+++ b/camphortray/slot_scheduler.py
@@ -179,7 +179,7 @@
         if outcome is enginehealth.Outcome.GOOD and lease.want.online:
             held_s = now - lease.granted_at
             self.hold_s += LEARN * (held_s - self.hold_s)
-        self.use.table.judge(lease.engine, outcome, now)
+        self.use.table.record_outcome(lease.engine, outcome, now)
         return self.decide(now)
 
     # What is decided.
@@ -344,5 +344,5 @@
         if recall_at is not None:
             times.append(recall_at)
         if self.queue or self.items:
-            times += self.use.table.health.openings(now)
+            times += self.use.table.health.retry_times(now)
         return min(times, default=None)
--- a/camphortray/slottable.py
+++ b/camphortray/slottable.py
@@ -52,7 +52,7 @@
         self.single: frozenset[str] = frozenset()
         self.engines: dict[str, int] = {}
         self.zones: dict[str, str] = {}
-        self.health = enginehealth.HealthBook()
+        self.health = enginehealth.HealthTracker()
         self.used: dict[str, int] = {}
         self._share = 1.0
         # Of engines of which nothing bad is known: their slots, and by
@@ -134,13 +134,13 @@
             self.used.pop(engine, None)
         self.refresh(engine)
 
-    def judge(
+    def record_outcome(
         self, engine: str, outcome: enginehealth.Outcome, now: float
     ) -> None:
         """Learn from the end of a lease how its engine is."""
         if not self.on.put_aside:
             return
-        self.health.judge(engine, outcome, now)
+        self.health.record_outcome(engine, outcome, now)
         self.refresh(engine)
 
     def room(self, engine: str, now: float, whole: bool = False) -> int:
--- a/tests/test_slotload.py
+++ b/tests/test_slotload.py
@@ -211,7 +211,9 @@
     scheduler.ask(slot_scheduler.SlotRequest("i1", "h", False), 0.0)
     gone = scheduler.leases["i0"].engine
     scheduler.set_engines([e for e in engines if e.name != gone], 1.0)
-    scheduler.use.table.judge(gone, enginehealth.Outcome.UNREACHED, 1.0)
+    scheduler.use.table.record_outcome(
+        gone, enginehealth.Outcome.UNREACHED, 1.0
+    )
     request = slot_scheduler.SlotRequest("q", "h", True, asked_at=2.0)
     _, decision = scheduler.ask(request, 2.0)
     assert decision.engine != gone
