--- a/camphortray/active_config.py
+++ b/camphortray/active_config.py
@@ -304,7 +304,7 @@
             except errors.LogError as error:
                 LOG.debug("No entries of engines: {}", error)
                 self.lost(error)
-            if self.engines.settle(self.clock.monotonic()):
+            if self.engines.drop_overdue(self.clock.monotonic()):
                 self.notify_engines()
             await asyncio.sleep(self.engines_every_s)
 
@@ -317,7 +317,7 @@
             entries = [self.entry_of(record) for record in page.records]
             found = [entry for entry in entries if entry is not None]
             now = self.clock.monotonic()
-            changed = self.engines.listing(found, now)
+            changed = self.engines.replace_all(found, now)
             self.listed = True
         else:
             page = await self.ledger.read(topic, 0, offset)
@@ -344,10 +344,12 @@
     def take_entry(self, record: ledgers.LedgerRecord) -> bool:
         """Take one record; return whether it changed anything."""
         if not record.value:
-            return self.engines.gone(record.key, self.clock.monotonic())
+            return self.engines.handle_missing(
+                record.key, self.clock.monotonic()
+            )
         entry = self.entry_of(record)
         if entry is None:
-            return self.engines.spoiled(record.key)
+            return self.engines.handle_invalid(record.key)
         return self.engines.put(entry)
 
     def reached(self) -> None:
@@ -359,7 +361,7 @@
             if now - self.peer_reached_at > AWAY_S:
                 # Only where no peer reached it either was it away itself,
                 # so that entries may have lapsed for that.
-                self.engines.returned(now)
+                self.engines.note_recovery(now)
         self.reached_at = now
 
     def lost(self, error: errors.LogError) -> None:
@@ -370,7 +372,7 @@
 
     def note_leaving(self, name: str) -> None:
         """Send an engine nothing new, by its own word."""
-        if self.engines.leaving(name):
+        if self.engines.mark_draining(name):
             LOG.notice("{} leaves, by its own word.", name)
             self.notify_engines()
 
@@ -429,7 +431,7 @@
             return
         now = self.clock.monotonic()
         if reply.fresh or not self.listed:
-            changed = self.engines.listing(reply.engines, now)
+            changed = self.engines.replace_all(reply.engines, now)
         else:
             changed = any([self.engines.put(e) for e in reply.engines])
         self.listed = True
--- a/camphortray/engine_registry.py
+++ b/camphortray/engine_registry.py
@@ -1,6 +1,6 @@
 """Local view of the registered engines and of which take new work."""
 
-__all__ = ["EngineEntry", "EngineRegistry", "MOST_SLOTS"]
+__all__ = ["EngineEntry", "EngineRegistry", "MAX_SLOTS"]
 
 import collections
 from collections.abc import Collection
@@ -18,9 +18,9 @@
 # Largest plausible number of concurrent requests of one engine. Engines
 # batch some hundreds at most; an entry with more was not written by an
 # engine and, if accepted, would attract all requests.
-MOST_SLOTS = 4_096
+MAX_SLOTS = 4_096
 # Start time of an engine that does not report it.
-UNTOLD = 0
+UNKNOWN_START = 0
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
@@ -45,7 +45,7 @@
     slots: int = 1
     draining: bool = False
     sequence: int = 0
-    born: int = UNTOLD
+    born: int = UNKNOWN_START
 
     @property
     def name(self) -> str:
@@ -96,7 +96,7 @@
         """Store an entry; return whether more than its sequence changed."""
         held = self.entries.get(entry.id)
         if held is None:
-            known = self.removed.get(entry.id, (UNTOLD, -1))
+            known = self.removed.get(entry.id, (UNKNOWN_START, -1))
             if entry.age <= known:
                 return False
         elif entry.age < held.age:
@@ -122,7 +122,7 @@
             self.cached[entry.name] = entry
         return changed
 
-    def gone(self, engine_id: str, now: float) -> bool:
+    def handle_missing(self, engine_id: str, now: float) -> bool:
         """Handle a missing entry; return whether the engine was removed.
 
         Within ``RETURN_S`` of a registry outage the engine is kept, as its
@@ -137,7 +137,7 @@
         self.drop(engine_id)
         return True
 
-    def spoiled(self, engine_id: str) -> bool:
+    def handle_invalid(self, engine_id: str) -> bool:
         """Handle an entry that became invalid; return if it was known.
 
         Another writer has overwritten it. The engine's own next heartbeat
@@ -157,26 +157,28 @@
         while len(self.removed) > MAX_REMEMBERED:
             del self.removed[next(iter(self.removed))]
 
-    def listing(self, entries: Iterable[EngineEntry], now: float) -> bool:
+    def replace_all(self, entries: Iterable[EngineEntry], now: float) -> bool:
         """Replace the entries by a full listing; return if any changed."""
         found = {entry.id: entry for entry in entries}
         changes = [self.put(entry) for entry in found.values()]
         absent = self.entries.keys() - found.keys()
-        changes += [self.gone(engine_id, now) for engine_id in absent]
+        changes += [
+            self.handle_missing(engine_id, now) for engine_id in absent
+        ]
         return any(changes)
 
-    def returned(self, now: float) -> None:
+    def note_recovery(self, now: float) -> None:
         """Record that the registry is reachable again after an outage."""
         self.returned_at = now
 
-    def settle(self, now: float) -> bool:
+    def drop_overdue(self, now: float) -> bool:
         """Remove engines still missing at their limit; return if any were."""
         overdue = [name for name, at in self.missing.items() if now >= at]
         for name in overdue:
             self.drop(name)
         return bool(overdue)
 
-    def leaving(self, name: str) -> bool:
+    def mark_draining(self, name: str) -> bool:
         """Mark an incarnation as draining; return whether that is new."""
         entry = self.current().get(name)
         if entry is None or entry.draining:
--- a/tests/test_active_config.py
+++ b/tests/test_active_config.py
@@ -47,13 +47,13 @@
     if peer_reached:
         part.take_answer(active_config.ActiveConfigAnswer(fresh=True))
     part.reached()
-    part.engines.gone("i-1", part.clock.now)
+    part.engines.handle_missing("i-1", part.clock.now)
     assert bool(part.engines.usable("s")) == stays
 
 
 def test_an_engine_named_by_a_peer_that_is_behind_changes_nothing():
     part = held()
-    part.engines.gone("i-1", 99.0)
+    part.engines.handle_missing("i-1", 99.0)
     assert not part.engines.usable("s")
     part.take_answer(active_config.ActiveConfigAnswer(engines=(ENTRY,)))
     assert not part.engines.usable("s")
--- a/tests/test_engine_registry.py
+++ b/tests/test_engine_registry.py
@@ -38,7 +38,7 @@
     assert names(registry) == []
     registry.put(entry(sequence=6))
     assert names(registry) == []
-    registry.gone("i-1", 10.0)
+    registry.handle_missing("i-1", 10.0)
     assert not registry.put(entry(sequence=6))
     assert not registry.entries
 
@@ -60,20 +60,22 @@
     # period all engines would be removed when the registry returns.
     registry = engine_registry.EngineRegistry()
     registry.put(ENTRY)
-    registry.returned(10.0)
-    assert registry.gone("i-1", 10.0 + since_return_s) == gone_at_once
+    registry.note_recovery(10.0)
+    assert (
+        registry.handle_missing("i-1", 10.0 + since_return_s) == gone_at_once
+    )
     assert names(registry) == ([] if gone_at_once else ["i-1"])
-    registry.settle(12.1)
+    registry.drop_overdue(12.1)
     assert names(registry) == []
 
 
 def test_an_entry_renewed_in_time_stays():
     registry = engine_registry.EngineRegistry()
     registry.put(ENTRY)
-    registry.returned(10.0)
-    registry.gone("i-1", 10.1)
+    registry.note_recovery(10.0)
+    registry.handle_missing("i-1", 10.1)
     registry.put(entry(sequence=2))
-    assert not registry.settle(12.1)
+    assert not registry.drop_overdue(12.1)
     assert names(registry) == ["i-1"]
 
 
@@ -81,15 +83,15 @@
     registry = engine_registry.EngineRegistry()
     registry.put(ENTRY)
     other = entry(id="i-2", address="10.0.0.2:80")
-    assert registry.listing([other], 100.0)
+    assert registry.replace_all([other], 100.0)
     assert names(registry) == ["i-2"]
 
 
 def test_an_engine_marked_as_leaving_gets_no_new_work():
     registry = engine_registry.EngineRegistry()
     registry.put(ENTRY)
-    assert registry.leaving("i-1")
-    assert not registry.leaving("i-1")
+    assert registry.mark_draining("i-1")
+    assert not registry.mark_draining("i-1")
     assert names(registry) == []
 
 
@@ -114,7 +116,7 @@
     registry = engine_registry.EngineRegistry()
     registry.put(entry(born=2000, sequence=1, slots=4))
     if removed:
-        registry.gone("i-1", 100.0)
+        registry.handle_missing("i-1", 100.0)
     assert not registry.put(entry(born=1000, sequence=99))
     assert [e.slots for e in registry.usable("s")] == ([] if removed else [4])
 
@@ -122,7 +124,7 @@
 def test_a_restarted_engine_returns_after_its_id_was_removed():
     registry = engine_registry.EngineRegistry()
     registry.put(entry(born=1000, sequence=40))
-    registry.gone("i-1", 100.0)
+    registry.handle_missing("i-1", 100.0)
     assert registry.put(entry(born=2000, sequence=1))
     assert names(registry) == ["i-1"]
 
@@ -131,8 +133,8 @@
     registry = engine_registry.EngineRegistry()
     registry.put(entry(born=1000, sequence=9))
     registry.put(entry(born=2000, sequence=1))
-    assert not registry.leaving("i-1~1000")
-    assert registry.leaving("i-1~2000")
+    assert not registry.mark_draining("i-1~1000")
+    assert registry.mark_draining("i-1~2000")
 
 
 def test_the_engine_started_last_owns_the_address():
@@ -140,9 +142,9 @@
     registry = engine_registry.EngineRegistry()
     old = entry(id="i-9", born=1000)
     new = entry(id="i-2", born=2000)
-    registry.listing([new, old], 100.0)
+    registry.replace_all([new, old], 100.0)
     assert names(registry) == ["i-2"]
-    registry.gone("i-2", 100.0)
+    registry.handle_missing("i-2", 100.0)
     assert names(registry) == ["i-9"]
 
 
@@ -189,8 +191,8 @@
 def test_an_overwritten_entry_is_restored_by_the_next_heartbeat():
     registry = engine_registry.EngineRegistry()
     registry.put(entry(born=1000, sequence=5))
-    assert registry.spoiled("i-1")
+    assert registry.handle_invalid("i-1")
     assert names(registry) == []
-    assert not registry.spoiled("i-1")
+    assert not registry.handle_invalid("i-1")
     assert registry.put(entry(born=1000, sequence=6))
     assert names(registry) == ["i-1"]
--- a/tests/test_enginelives.py
+++ b/tests/test_enginelives.py
@@ -151,9 +151,9 @@
     for now, entry in enumerate(late):
         book.put(entry)
         if chance.random() < 0.2:
-            book.returned(now)
+            book.note_recovery(now)
         if chance.random() < 0.3:
-            book.gone(entry.id, now)
+            book.handle_missing(entry.id, now)
         latest[entry.id] = max(latest.get(entry.id, 0), entry.born)
         for used in book.usable("s"):
             assert used.born == latest[used.id]
@@ -163,8 +163,8 @@
         for entry in newest.values()
     ]
     end = len(late) + 2 * engine_registry.RETURN_S
-    book.listing(beats, end)
-    book.settle(end)
+    book.replace_all(beats, end)
+    book.drop_overdue(end)
     assert {e.name for e in book.usable("s")} == {
         entry.name for entry in beats if not entry.draining
     }
--- a/tests/test_invalid_entries.py
+++ b/tests/test_invalid_entries.py
@@ -58,7 +58,7 @@
     {"slots": 7.5},
     {"slots": 0},
     {"slots": -8},
-    {"slots": engine_registry.MOST_SLOTS + 1},
+    {"slots": engine_registry.MAX_SLOTS + 1},
     {"slots": 10**30},
     {"state": "leaving"},
     {"state": ""},
--- a/tests/test_slot_client.py
+++ b/tests/test_slot_client.py
@@ -68,7 +68,7 @@
     async with platformkit.Platform(hosts=2) as platform:
         _, other = slotclientkit.roles(platform)
         held = other.part(slot_client.SlotClient)
-        held.active_config.engines.leaving("i-0")
+        held.active_config.engines.mark_draining("i-0")
         for number in range(8):
             placed = await held.acquire(
                 SERVICE,
