--- a/camphortray/active_config.py
+++ b/camphortray/active_config.py
@@ -127,7 +127,7 @@
         self.routes = routemap.RouteMap(())
         self.access = access.AccessControl(self.view)
         self.engines = engine_registry.EngineRegistry()
-        self.strays = invalid_entries.InvalidEntries()
+        self.invalid_entries = invalid_entries.InvalidEntries()
         self.listeners: list[Callable[[Any], None]] = []
         self.engine_listeners: list[Callable[[], None]] = []
         self.reached_at = -AWAY_S
@@ -335,10 +335,10 @@
         try:
             entry = self.dialect.engine(record.key, record.value)
         except errors.RecordError as error:
-            if self.strays.news(record.key, record.value):
+            if self.invalid_entries.add(record.key, record.value):
                 LOG.warning("Entry {!r} left out: {}", record.key, error)
             return None
-        self.strays.sound(record.key)
+        self.invalid_entries.discard(record.key)
         return entry
 
     def take_entry(self, record: ledgers.LedgerRecord) -> bool:
--- a/camphortray/invalid_entries.py
+++ b/camphortray/invalid_entries.py
@@ -20,7 +20,7 @@
     def __init__(self) -> None:
         self.held: dict[str, int] = {}
 
-    def news(self, key: str, value: bytes) -> bool:
+    def add(self, key: str, value: bytes) -> bool:
         """Record an invalid entry; return whether it is new or changed."""
         digest = xxhash.xxh64_intdigest(value)
         if self.held.get(key) == digest:
@@ -31,6 +31,6 @@
             del self.held[next(iter(self.held))]
         return True
 
-    def sound(self, key: str) -> None:
+    def discard(self, key: str) -> None:
         """Forget a key, whose entry is valid again."""
         self.held.pop(key, None)
--- a/tests/test_invalid_entries.py
+++ b/tests/test_invalid_entries.py
@@ -103,7 +103,7 @@
     """Return the active configuration of a host without engines."""
     part = test_active_config.held()
     part.dialect = DIALECT
-    part.strays = invalid_entries.InvalidEntries()
+    part.invalid_entries = invalid_entries.InvalidEntries()
     for name in list(part.engines.entries):
         part.engines.drop(name)
     return part
@@ -151,14 +151,14 @@
 
 def test_an_invalid_entry_is_reported_once_per_change():
     held = invalid_entries.InvalidEntries()
-    reported = [held.news("x", v) for v in (b"a", b"a", b"b", b"b", b"a")]
+    reported = [held.add("x", v) for v in (b"a", b"a", b"b", b"b", b"a")]
     assert reported == [True, False, True, False, True]
-    held.sound("x")
-    assert held.news("x", b"a")
+    held.discard("x")
+    assert held.add("x", b"a")
 
 
 def test_the_number_of_remembered_keys_is_bounded():
     held = invalid_entries.InvalidEntries()
     for number in range(3 * invalid_entries.MAX_KEYS):
-        held.news(f"x-{number}", b"")
+        held.add(f"x-{number}", b"")
     assert len(held.held) == invalid_entries.MAX_KEYS
