--- a/camphortray/completing.py
+++ b/camphortray/completing.py
@@ -125,7 +125,7 @@
 
     def verdict(self) -> poison.Verdict:
         """Return how the request may run now."""
-        if self.parts.suspects.quiet:
+        if self.parts.suspects.no_suspects:
             return poison.FREE
         return self.parts.suspects.verdict(self.service, self.fingerprint)
 
@@ -133,13 +133,13 @@
         """Return a try where no other suspect runs, if there is a place."""
         held, name = self.parts.suspects, self.try_name()
         async with held.turn:
-            if self.verdict().standing is not poison.Standing.APART:
+            if self.verdict().standing is not poison.Standing.ISOLATED:
                 return None
             upstream = await held.acquire(self.service, name, self.left_s())
             if upstream is None:
                 await asyncio.sleep(APART_PAUSE_S)
                 return None
-        if self.verdict().standing is not poison.Standing.APART:
+        if self.verdict().standing is not poison.Standing.ISOLATED:
             # While the permit was on its way the request may have been
             # proved guilty, or innocent by another's guilt.
             held.release(upstream.name, name)
--- a/camphortray/isolation.py
+++ b/camphortray/isolation.py
@@ -56,10 +56,10 @@
         """Return how an item may run, by the fleet's reports and the log."""
         if item.crashes:
             # After a takeover the log is this host's only source.
-            logged = poison.Verdict(poison.Standing.APART)
+            logged = poison.Verdict(poison.Standing.ISOLATED)
         else:
             logged = poison.FREE
-        if self.suspects.quiet:
+        if self.suspects.no_suspects:
             return logged
         reported = self.suspects.verdict(service, fingerprint(path, item))
         return (
@@ -67,7 +67,7 @@
         )
 
     @contextlib.asynccontextmanager
-    async def apart(self, upstream: str, holder: str) -> AsyncIterator[bool]:
+    async def reserve(self, upstream: str, holder: str) -> AsyncIterator[bool]:
         """Reserve an upstream for a suspect.
 
         No other suspect of the fleet and no other item of this host runs
@@ -125,7 +125,9 @@
         self.left.clear()
         await self.left.wait()
 
-    def to_blame(self, item: jobqueue.Item, upstream: str, name: str) -> bool:
+    def counts_against(
+        self, item: jobqueue.Item, upstream: str, name: str
+    ) -> bool:
         """Return whether a crash of its upstream counts against an item.
 
         A first crash does not if a suspect was running there. A further one
--- a/camphortray/itemdriver.py
+++ b/camphortray/itemdriver.py
@@ -90,7 +90,7 @@
             told = self.isolation.verdict(service, accept.path, item)
             if told.standing is poison.Standing.QUARANTINED:
                 self.end(held, item, "failed", reason("has crashed upstreams"))
-            elif told.standing is poison.Standing.APART:
+            elif told.standing is poison.Standing.ISOLATED:
                 await self.run_apart(held, item, slot, told.at)
             else:
                 await self.run_once(held, item, slot)
@@ -111,7 +111,7 @@
             self.defer(held, item, "", wait_s)
             return
         holder = f"{item.job}-{item.index}.{self.sent}"
-        async with self.isolation.apart(slot.upstream.name, holder) as alone:
+        async with self.isolation.reserve(slot.upstream.name, holder) as alone:
             if alone:
                 await self.run_once(held, item, slot)
             else:
@@ -140,7 +140,7 @@
                 service, attempt, slot, fresh=item.tries > 0
             )
             if item.crashes:
-                self.isolation.suspects.passed(attempt.fingerprint())
+                self.isolation.suspects.clear(attempt.fingerprint())
             self.end(held, item, "done", answer)
         except itemrun.Revoked:
             item.kept = attempt.collector
@@ -212,7 +212,7 @@
             item,
             error,
             crashed=attempt.crashed
-            and self.isolation.to_blame(
+            and self.isolation.counts_against(
                 item, upstream.name, attempt.fingerprint()
             ),
             idempotent=accept.idempotent,
--- a/camphortray/itemrun.py
+++ b/camphortray/itemrun.py
@@ -114,7 +114,9 @@
             self.signals.ended(*labels, good)
 
     async def look_at(
-        self, flight: suspects_module.Flight, error: errors.UpstreamError
+        self,
+        flight: suspects_module.InFlightRequest,
+        error: errors.UpstreamError,
     ) -> bool:
         """Return whether a failure means that the upstream crashed."""
         refused = isinstance(error, errors.UpstreamRefused)
@@ -123,7 +125,7 @@
         self.upstreams.failed(flight.upstream)
         if isinstance(error, errors.UpstreamTimeout) or not error.ran:
             return False
-        return await self.suspects.broke(flight)
+        return await self.suspects.is_crash(flight)
 
     async def watched(
         self,
--- a/camphortray/poison.py
+++ b/camphortray/poison.py
@@ -1,6 +1,6 @@
 """Detects poison requests, which crash the upstreams that run them."""
 
-__all__ = ["Permits", "PoisonBook", "Standing", "Verdict", "fingerprint"]
+__all__ = ["Permits", "PoisonDetector", "Standing", "Verdict", "fingerprint"]
 
 import dataclasses
 import enum
@@ -30,7 +30,7 @@
     """How a request may run."""
 
     FREE = "free"
-    APART = "apart"
+    ISOLATED = "apart"
     QUARANTINED = "quarantined"
 
 
@@ -40,7 +40,7 @@
 
     Attributes:
       standing: How it may run.
-      at: Wall-clock seconds; the start for ``APART``, the end for
+      at: Wall-clock seconds; the start for ``ISOLATED``, the end for
         ``QUARANTINED``.
     """
 
@@ -87,7 +87,7 @@
     return hashlib.sha256(content).hexdigest()[:FINGERPRINT_DIGITS]
 
 
-class PoisonBook:
+class PoisonDetector:
     """Tracks crashes and the requests in flight at each.
 
     A request is poison if it is the *only one* that was in flight at two
@@ -145,7 +145,7 @@
         if not held:
             return FREE
         return Verdict(
-            Standing.APART, max(crash.at for crash in held) + SETTLE_S
+            Standing.ISOLATED, max(crash.at for crash in held) + SETTLE_S
         )
 
     def open_crashes(self) -> list[Crash]:
--- a/camphortray/routedtry.py
+++ b/camphortray/routedtry.py
@@ -137,7 +137,7 @@
             # looks idle and gets every further try too.
             await held.probe(self.upstream)
             return True
-        return await self.parts.suspects.broke(self.flight)
+        return await self.parts.suspects.is_crash(self.flight)
 
     async def look_at(self) -> None:
         """Try a new connection, so that a dead upstream is held down."""
@@ -158,11 +158,11 @@
         """Take the suspicion off a request that went well."""
         self.suspected = False
         held = self.parts.suspects
-        if held.quiet:
+        if held.no_suspects:
             return
         told = held.verdict(self.service, self.fingerprint())
-        if told.standing is poison.Standing.APART:
-            held.passed(self.fingerprint())
+        if told.standing is poison.Standing.ISOLATED:
+            held.clear(self.fingerprint())
 
     def give_back(self) -> None:
         """Let the next suspect run where this request held a permit."""
--- a/camphortray/suspects.py
+++ b/camphortray/suspects.py
@@ -1,6 +1,12 @@
 """Isolates requests suspected of crashing upstreams, across all hosts."""
 
-__all__ = ["ApartAnswer", "ApartAsk", "ApartDone", "Flight", "Suspects"]
+__all__ = [
+    "ApartAnswer",
+    "ApartAsk",
+    "ApartDone",
+    "InFlightRequest",
+    "Suspects",
+]
 
 import asyncio
 from collections.abc import Callable
@@ -81,7 +87,7 @@
 
 
 @dataclasses.dataclass(eq=False, slots=True)
-class Flight:
+class InFlightRequest:
     """A request in flight at an upstream.
 
     Attributes:
@@ -99,7 +105,7 @@
     """Tracks requests in flight, detects crashes and isolates suspects.
 
     A sender of requests calls ``verdict`` before each attempt, ``begin``
-    and ``end`` around it, ``broke`` if its connection breaks and ``passed``
+    and ``end`` around it, ``is_crash`` if its connection breaks and ``clear``
     if it succeeds. A suspect first has to hold ``turn`` and to get an
     upstream from ``acquire``.
 
@@ -127,11 +133,11 @@
         self.members = context.part(membership.Membership)
         self.peers = context.part(peers.Peers)
         self.upstreams = context.part(upstreams_module.Upstreams)
-        self.book = poison.PoisonBook()
+        self.book = poison.PoisonDetector()
         self.permits = poison.Permits()
         self.turn = asyncio.Lock()
         self.asked: dict[tuple[str, str], configs.Address | None] = {}
-        self.flights: dict[str, set[Flight]] = {}
+        self.flights: dict[str, set[InFlightRequest]] = {}
         self.breaking: dict[str, set[str]] = {}
         self.checks: dict[str, asyncio.Task[bool]] = {}
         self.members.on_fact(CRASH, self.on_crash)
@@ -156,23 +162,23 @@
         return self.book.verdict(fingerprint, self.clock.wall())
 
     @property
-    def quiet(self) -> bool:
+    def no_suspects(self) -> bool:
         """Whether no request is suspect or quarantined."""
         return not self.book.crashes and not self.book.quarantined
 
     def begin(
         self, upstream: engine.Upstream, fingerprint: Callable[[], str]
-    ) -> Flight:
+    ) -> InFlightRequest:
         """Record that a request is sent to an upstream."""
-        flight = Flight(upstream, fingerprint)
+        flight = InFlightRequest(upstream, fingerprint)
         self.flights.setdefault(upstream.name, set()).add(flight)
         return flight
 
-    def end(self, flight: Flight) -> None:
+    def end(self, flight: InFlightRequest) -> None:
         """Record that a request is no longer at its upstream."""
         self.flights[flight.upstream.name].discard(flight)
 
-    async def broke(self, flight: Flight) -> bool:
+    async def is_crash(self, flight: InFlightRequest) -> bool:
         """Return whether a broken connection was due to a crash.
 
         The upstream is probed over a new connection. If that is refused, or
@@ -242,7 +248,7 @@
                 )
                 self.members.publish(QUARANTINE, name, until, until - now)
 
-    def passed(self, fingerprint: str) -> None:
+    def clear(self, fingerprint: str) -> None:
         """Clear a suspect that has got past the point of the crash."""
         self.members.publish(
             CLEARED, fingerprint, self.clock.wall(), poison.SUSPECT_S
--- a/tests/test_online_decisions.py
+++ b/tests/test_online_decisions.py
@@ -301,7 +301,7 @@
 def test_only_the_one_common_to_two_crashes_is_quarantined(
     reports, cleared, guilty, apart
 ):
-    book = poison.PoisonBook(100.0)
+    book = poison.PoisonDetector(100.0)
     for name, at, suspects in reports:
         book.report(name, 1000.0 + at, suspects)
     for name, at in cleared:
@@ -309,15 +309,15 @@
     standing = {n: book.verdict(n, 1014.0).standing for n in (P, X, Y)}
     kind = poison.Standing
     assert {n for n, s in standing.items() if s is kind.QUARANTINED} == guilty
-    assert {n for n, s in standing.items() if s is kind.APART} == apart
+    assert {n for n, s in standing.items() if s is kind.ISOLATED} == apart
 
 
 def test_suspicion_and_quarantine_end_with_time_and_wait_for_reports():
-    book = poison.PoisonBook(100.0)
+    book = poison.PoisonDetector(100.0)
     book.report("a", 1000.0, {P, X})
     assert book.verdict(P, 1000.0).at == 1000.0 + poison.SETTLE_S
     book.report("b", 1010.0, {P})
-    assert book.verdict(P, 1011.0).standing is poison.Standing.APART
+    assert book.verdict(P, 1011.0).standing is poison.Standing.ISOLATED
     assert book.verdict(P, 1013.0).standing is poison.Standing.QUARANTINED
     book.report("c", 1014.0, {P, Y})
     assert book.verdict(Y, 1020.0) == poison.FREE
