--- a/camphortray/isolation.py
+++ b/camphortray/isolation.py
@@ -139,7 +139,7 @@
         now = self.clock.wall()
         others = {
             crash.upstream
-            for crash in self.suspects.book.crashes
+            for crash in self.suspects.detector.crashes
             if crash.upstream != upstream
             and now - crash.at <= poison.RELATED_S
             and name not in crash.suspects
--- a/camphortray/suspects.py
+++ b/camphortray/suspects.py
@@ -110,11 +110,11 @@
     upstream from ``acquire``.
 
     Attributes:
-      book: Crashes and quarantines known to this host.
+      detector: Crashes and quarantines known to this host.
       permits: Permits for the upstreams that this host coordinates.
       turn: Held while a suspect asks for a permit.
       asked: Coordinators asked for permits, by upstream and holder.
-      flights: Requests in flight, by upstream.
+      in_flight: Requests in flight, by upstream.
       breaking: Fingerprints in flight at upstreams that are being checked.
       checks: Running crash checks, by upstream.
     """
@@ -133,11 +133,11 @@
         self.members = context.part(membership.Membership)
         self.peers = context.part(peers.Peers)
         self.upstreams = context.part(upstreams_module.Upstreams)
-        self.book = poison.PoisonDetector()
+        self.detector = poison.PoisonDetector()
         self.permits = poison.Permits()
         self.turn = asyncio.Lock()
         self.asked: dict[tuple[str, str], configs.Address | None] = {}
-        self.flights: dict[str, set[InFlightRequest]] = {}
+        self.in_flight: dict[str, set[InFlightRequest]] = {}
         self.breaking: dict[str, set[str]] = {}
         self.checks: dict[str, asyncio.Task[bool]] = {}
         self.members.on_fact(CRASH, self.on_crash)
@@ -158,25 +158,25 @@
         self, service: settings.Service, fingerprint: str
     ) -> poison.Verdict:
         """Return how a request may run now."""
-        self.book.quarantine_s = service.get("poison.quarantine_s")
-        return self.book.verdict(fingerprint, self.clock.wall())
+        self.detector.quarantine_s = service.get("poison.quarantine_s")
+        return self.detector.verdict(fingerprint, self.clock.wall())
 
     @property
     def no_suspects(self) -> bool:
         """Whether no request is suspect or quarantined."""
-        return not self.book.crashes and not self.book.quarantined
+        return not self.detector.crashes and not self.detector.quarantined
 
     def begin(
         self, upstream: engine.Upstream, fingerprint: Callable[[], str]
     ) -> InFlightRequest:
         """Record that a request is sent to an upstream."""
         flight = InFlightRequest(upstream, fingerprint)
-        self.flights.setdefault(upstream.name, set()).add(flight)
+        self.in_flight.setdefault(upstream.name, set()).add(flight)
         return flight
 
     def end(self, flight: InFlightRequest) -> None:
         """Record that a request is no longer at its upstream."""
-        self.flights[flight.upstream.name].discard(flight)
+        self.in_flight[flight.upstream.name].discard(flight)
 
     async def is_crash(self, flight: InFlightRequest) -> bool:
         """Return whether a broken connection was due to a crash.
@@ -190,7 +190,7 @@
         name = flight.upstream.name
         broken = self.breaking.setdefault(name, set())
         broken.add(flight.fingerprint())
-        broken |= {f.fingerprint() for f in self.flights.get(name, ())}
+        broken |= {f.fingerprint() for f in self.in_flight.get(name, ())}
         task = self.checks.get(name)
         if task is None:
             work = self.check(flight.upstream)
@@ -236,9 +236,9 @@
         """Publish quarantines, also for hosts that join later."""
         await asyncio.sleep(poison.SETTLE_S + SETTLE_MARGIN_S)
         now = self.clock.wall()
-        self.book.decide(now)
-        for name in suspects & set(self.book.quarantined):
-            until = self.book.quarantined[name]
+        self.detector.decide(now)
+        for name in suspects & set(self.detector.quarantined):
+            until = self.detector.quarantined[name]
             if f"{QUARANTINE} {name}" not in self.members.facts:
                 LOG.warning("Request {} is quarantined.", name)
                 self.context.metrics.inc(
@@ -261,15 +261,15 @@
         except msgspec.ValidationError as error:
             LOG.error("Invalid crash report {}: {}", fact.key, error)
             return
-        self.book.report(report.upstream, report.at, set(report.suspects))
+        self.detector.report(report.upstream, report.at, set(report.suspects))
 
     def on_cleared(self, fact: membership.Fact) -> None:
         """Process a host's report that a suspect succeeded."""
-        self.book.clear(fact.key, float(fact.value))
+        self.detector.clear(fact.key, float(fact.value))
 
     def on_quarantine(self, fact: membership.Fact) -> None:
         """Adopt a quarantine published by any host."""
-        self.book.quarantined.setdefault(fact.key, float(fact.value))
+        self.detector.quarantined.setdefault(fact.key, float(fact.value))
 
     async def on_ask(self, sender: peers.Sender, ask: ApartAsk) -> ApartAnswer:
         """Answer a request for a permit, as an upstream's coordinator."""
--- a/tests/test_refusals.py
+++ b/tests/test_refusals.py
@@ -172,7 +172,7 @@
 
 
 def quarantine(cluster, patch):
-    book = part(cluster, suspects.Suspects).book
+    book = part(cluster, suspects.Suspects).detector
     text = completion.parse(online.CHAT, GOOD).text
     book.quarantined[poison.fingerprint(clusters.MODEL, text)] = 9e9
 
