--- a/camphortray/completing.py
+++ b/camphortray/completing.py
@@ -246,7 +246,7 @@
     def may_retry(self, error: errors.UpstreamError) -> bool:
         """Return whether another try is right, and count it if so."""
         rule = retry.RetryRule(
-            self.idempotent, MAX_TRIES, MAX_TRIES, engine.FINAL
+            self.idempotent, MAX_TRIES, MAX_TRIES, engine.FINAL_STATUSES
         )
         if not rule.allows(error, self.ran, self.refused):
             return False
@@ -256,7 +256,7 @@
     def refusal_of(self, error: errors.UpstreamError) -> errors.Refused:
         """Return the refusal of a request whose upstream failed."""
         if isinstance(error, errors.UpstreamRefused):
-            if error.status in engine.FINAL:
+            if error.status in engine.FINAL_STATUSES:
                 return self.refusal(
                     error.status, "engine_refused", error.message
                 )
--- a/camphortray/draining.py
+++ b/camphortray/draining.py
@@ -10,11 +10,11 @@
 LEAVING_STATUSES = ("leaving", "gone")
 # Seconds after which an upstream that cannot be queried is used again if the
 # host list has it as live; by then the list's lag has passed.
-UNASKED_S = 60.0
+LISTED_RETURN_S = 60.0
 # Seconds after which an upstream's own report that it serves is accepted
 # without a read of the host list since the mark. Hosts of a large fleet read
 # the list about every 20 s; during an outage of the list there is no read.
-UNREAD_S = 30.0
+REPORTED_RETURN_S = 30.0
 
 
 class DrainingUpstreams:
@@ -85,8 +85,8 @@
             # The mark may come from another host's newer read of the list,
             # of which neither this host nor the upstream knows yet.
             read = self.reads != self.read_at.get(name, -1)
-            waited = self.marked.get(name, now) <= now - UNREAD_S
+            waited = self.marked.get(name, now) <= now - REPORTED_RETURN_S
             return not state.draining and (read or waited)
-        expired = self.marked.get(name, now) <= now - UNASKED_S
+        expired = self.marked.get(name, now) <= now - LISTED_RETURN_S
         live = self.listed.get(name) == "live"
         return name in self.returned or (expired and live)
--- a/camphortray/engine.py
+++ b/camphortray/engine.py
@@ -8,7 +8,7 @@
     "EngineRequest",
     "EngineState",
     "EngineStream",
-    "FINAL",
+    "FINAL_STATUSES",
     "LoadReport",
     "MemoryEngine",
     "Order",
@@ -29,7 +29,7 @@
 from camphortray import registry
 
 # Status codes that are not retried, as every engine would return the same.
-FINAL = frozenset({400, 413, 422})
+FINAL_STATUSES = frozenset({400, 413, 422})
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
--- a/camphortray/outlier.py
+++ b/camphortray/outlier.py
@@ -6,7 +6,7 @@
 import dataclasses
 
 # Consecutive failures after which an upstream is ejected.
-FAILURES = 5
+FAILURE_THRESHOLD = 5
 # First and longest ejection.
 EJECTION_S = 2.0
 MAX_EJECTION_S = 60.0
@@ -50,12 +50,15 @@
         """Count a failure; each ejection lasts twice as long as the last."""
         record = self.records.setdefault(name, FailureRecord())
         record.failures += 1
-        if record.failures >= FAILURES and now >= record.ejected_until:
+        if (
+            record.failures >= FAILURE_THRESHOLD
+            and now >= record.ejected_until
+        ):
             ejection_s = min(EJECTION_S * 2**record.ejections, MAX_EJECTION_S)
             record.ejected_until = now + ejection_s
             record.ejections += 1
             # One failure after its return ejects it again.
-            record.failures = FAILURES - 1
+            record.failures = FAILURE_THRESHOLD - 1
 
     def ejected(self, names: Collection[str], now: float) -> set[str]:
         """Return the ejected ``names``, at most ``MAX_SHARE`` of them."""
--- a/camphortray/routedtry.py
+++ b/camphortray/routedtry.py
@@ -125,7 +125,7 @@
         if isinstance(error, errors.UpstreamFault):
             return False
         if isinstance(error, errors.UpstreamRefused):
-            if error.status not in engine.FINAL and not error.leaving:
+            if error.status not in engine.FINAL_STATUSES and not error.leaving:
                 held.failed(self.upstream)
             return True
         held.failed(self.upstream)
--- a/tests/test_online_decisions.py
+++ b/tests/test_online_decisions.py
@@ -123,7 +123,7 @@
     book = outlier.Outliers()
     names = ["a", "b", "c", "d"]
     for name in names[:3]:
-        for _ in range(outlier.FAILURES):
+        for _ in range(outlier.FAILURE_THRESHOLD):
             book.failed(name, 10.0)
     assert len(book.ejected(names, 10.5)) == 2
     assert book.ejected(["a"], 10.5) == set()
@@ -165,7 +165,7 @@
         book.on_list([hostlist.ListedHost("e", "upstream", status)])
     assert book.is_back("e", state, 101.0) is back
     # What cannot be asked is tried again when the list has caught up.
-    late = 100.0 + draining.UNASKED_S
+    late = 100.0 + draining.LISTED_RETURN_S
     back = back or (state is None and lists == [LIVE])
     # While the list is away, its own word counts in the end.
     back = back or (state is SERVES and not lists)
