--- a/bench/membership_node.py
+++ b/bench/membership_node.py
@@ -88,7 +88,7 @@
         host = f"host-{number}"
         near = set()
         for each in (beside, zones[number % ZONES]):
-            near.update(each.beside(host), each.watched_by(host))
+            near.update(each.neighbours(host), each.watched_by(host))
         found.append(len(near))
     return found
 
--- a/camphortray/backends.py
+++ b/camphortray/backends.py
@@ -1,6 +1,6 @@
 """Plug-ins for the platform's services, bundled as one part."""
 
-__all__ = ["Backends", "LedgerBackends", "Parties"]
+__all__ = ["Backends", "CommonBackends", "LedgerBackends"]
 
 from typing import ClassVar
 
@@ -20,7 +20,7 @@
 BUILT_IN_MODULE = "camphortray.plugins"
 
 
-class Parties(kernel.Part):
+class CommonBackends(kernel.Part):
     """Plug-ins needed by every program.
 
     Attributes:
@@ -48,7 +48,7 @@
 
 
 @kernel.PARTS.register("host")
-class LedgerBackends(Parties):
+class LedgerBackends(CommonBackends):
     """Plug-ins of a host on a platform with a ledger.
 
     Attributes:
@@ -76,7 +76,7 @@
 
 
 @kernel.PARTS.register("entry", "batch")
-class Backends(Parties):
+class Backends(CommonBackends):
     """Plug-ins of a host on a platform with a log.
 
     Attributes:
--- a/camphortray/membership.py
+++ b/camphortray/membership.py
@@ -63,7 +63,7 @@
         self.clock = context.clock
         self.links = context.part(peers.Peers)
         self.tree = context.part(revisions.Revisions)
-        self.backends = context.part(backends.Parties)
+        self.backends = context.part(backends.CommonBackends)
         config = context.config
         self.own_name = f"{config.host.name}/{context.program}"
         own = Member(
--- a/camphortray/overlay.py
+++ b/camphortray/overlay.py
@@ -65,7 +65,7 @@
         """Return the members that this one tells news."""
         near: set[str] = set()
         for each in (self.ring, self.zone_ring):
-            near.update(each.watched_by(self.host), each.beside(self.host))
+            near.update(each.watched_by(self.host), each.neighbours(self.host))
         names = self.names(near)
         names.update(m.name for m in self.directory.on_host(self.host))
         names.discard(f"{self.host}/{self.program}")
@@ -79,11 +79,11 @@
         """Return those that watch a host beside this one."""
         return [
             member
-            for watcher in self.ring.beside(host)
+            for watcher in self.ring.neighbours(host)
             if watcher != self.host
             for member in self.partners(watcher)
         ]
 
     def enough_doubts(self, host: str) -> int:
         """Return how many doubts make a host's members suspected."""
-        return min(DOUBTS, len(self.ring.beside(host)))
+        return min(DOUBTS, len(self.ring.neighbours(host)))
--- a/camphortray/ring.py
+++ b/camphortray/ring.py
@@ -54,7 +54,7 @@
         )
         return heapq.nlargest(self.count, others)
 
-    def beside(self, host: str) -> list[str]:
+    def neighbours(self, host: str) -> list[str]:
         """Return the neighbours of a host."""
         return [neighbour for _, neighbour in self.tops.get(host, [])]
 
--- a/tests/test_members.py
+++ b/tests/test_members.py
@@ -78,4 +78,4 @@
         anew.add(host)
     assert kept.tops == anew.tops
     for host in hosts:
-        assert all(host in kept.beside(t) for t in kept.watched_by(host))
+        assert all(host in kept.neighbours(t) for t in kept.watched_by(host))
