--- a/camphortray/suspects.py
+++ b/camphortray/suspects.py
@@ -114,7 +114,7 @@
       permits: Permits for the upstreams that this host coordinates.
       turn: Held while a suspect asks for a permit.
       asked: Coordinators asked for permits, by upstream and holder.
-      in_flight: Requests in flight, by upstream.
+      requests: Requests in flight, by upstream.
       breaking: Fingerprints in flight at upstreams that are being checked.
       checks: Running crash checks, by upstream.
     """
@@ -137,7 +137,7 @@
         self.permits = poison.Permits()
         self.turn = asyncio.Lock()
         self.asked: dict[tuple[str, str], configs.Address | None] = {}
-        self.in_flight: dict[str, set[InFlightRequest]] = {}
+        self.requests: dict[str, set[InFlightRequest]] = {}
         self.breaking: dict[str, set[str]] = {}
         self.checks: dict[str, asyncio.Task[bool]] = {}
         self.members.on_fact(CRASH, self.on_crash)
@@ -171,12 +171,12 @@
     ) -> InFlightRequest:
         """Record that a request is sent to an upstream."""
         flight = InFlightRequest(upstream, fingerprint)
-        self.in_flight.setdefault(upstream.name, set()).add(flight)
+        self.requests.setdefault(upstream.name, set()).add(flight)
         return flight
 
     def end(self, flight: InFlightRequest) -> None:
         """Record that a request is no longer at its upstream."""
-        self.in_flight[flight.upstream.name].discard(flight)
+        self.requests[flight.upstream.name].discard(flight)
 
     async def is_crash(self, flight: InFlightRequest) -> bool:
         """Return whether a broken connection was due to a crash.
@@ -190,7 +190,7 @@
         name = flight.upstream.name
         broken = self.breaking.setdefault(name, set())
         broken.add(flight.fingerprint())
-        broken |= {f.fingerprint() for f in self.in_flight.get(name, ())}
+        broken |= {f.fingerprint() for f in self.requests.get(name, ())}
         task = self.checks.get(name)
         if task is None:
             work = self.check(flight.upstream)
