--- a/camphortray/routedtry.py
+++ b/camphortray/routedtry.py
@@ -130,7 +130,7 @@
         if isinstance(error, errors.UpstreamFault):
             return False
         if isinstance(error, errors.UpstreamRefused):
-            if error.status not in engine.FINAL and not error.leaving:
+            if error.status not in engine.FINAL_STATUSES and not error.leaving:
                 pool.failed(self.upstream)
             return True
         pool.failed(self.upstream)
@@ -142,7 +142,7 @@
             # looks idle and attracts every further attempt.
             await pool.probe(self.upstream)
             return True
-        return await self.parts.suspects.broke(self.flight)
+        return await self.parts.suspects.is_crash(self.flight)
 
     async def check_reachable(self) -> None:
         """Probe the upstream, which marks it as down if it is unreachable."""
@@ -163,11 +163,11 @@
         """Clear the request of the suspicion that it crashes engines."""
         self.suspected = False
         known = self.parts.suspects
-        if known.quiet:
+        if known.no_suspects:
             return
         verdict = known.verdict(self.service, self.fingerprint())
-        if verdict.standing is poison.Standing.APART:
-            known.passed(self.fingerprint())
+        if verdict.standing is poison.Standing.ISOLATED:
+            known.clear(self.fingerprint())
 
     def release_permit(self) -> None:
         """Release the permit, so that the next suspect can run there."""
--- a/camphortray/slot_scheduler.py
+++ b/camphortray/slot_scheduler.py
@@ -182,7 +182,7 @@
         if outcome is enginehealth.Outcome.GOOD and lease.want.online:
             held_s = now - lease.granted_at
             self.hold_s += EWMA_WEIGHT * (held_s - self.hold_s)
-        self.accounting.table.judge(lease.engine, outcome, now)
+        self.accounting.table.record_outcome(lease.engine, outcome, now)
         return self.decide(now)
 
     # Decisions.
@@ -372,5 +372,5 @@
         if expiry_at is not None:
             times.append(expiry_at)
         if self.queue or self.items:
-            times += self.accounting.table.health.openings(now)
+            times += self.accounting.table.health.retry_times(now)
         return min(times, default=None)
--- a/camphortray/slottable.py
+++ b/camphortray/slottable.py
@@ -54,7 +54,7 @@
         self.single: frozenset[str] = frozenset()
         self.engines: dict[str, int] = {}
         self.zones: dict[str, str] = {}
-        self.health = enginehealth.HealthBook()
+        self.health = enginehealth.HealthTracker()
         self.used: dict[str, int] = {}
         self._share = 1.0
         # Slots of healthy engines, and their free slots by zone and engine.
@@ -136,13 +136,13 @@
             self.used.pop(engine, None)
         self.refresh(engine)
 
-    def judge(
+    def record_outcome(
         self, engine: str, outcome: enginehealth.Outcome, now: float
     ) -> None:
         """Update the health of an engine by the outcome of a lease."""
         if not self.experiments.put_aside:
             return
-        self.health.judge(engine, outcome, now)
+        self.health.record_outcome(engine, outcome, now)
         self.refresh(engine)
 
     def room(self, engine: str, now: float, ignore_trial: bool = False) -> int:
--- a/tests/test_slot_client.py
+++ b/tests/test_slot_client.py
@@ -71,7 +71,7 @@
     async with platformkit.Platform(hosts=2) as platform:
         _, other_host = slotclientkit.roles(platform)
         held = other_host.part(slot_client.SlotClient)
-        held.active_config.engines.leaving("i-0")
+        held.active_config.engines.mark_draining("i-0")
         for number in range(8):
             placed = await held.acquire(
                 SERVICE,
