--- a/tests/hostkit.py
+++ b/tests/hostkit.py
@@ -66,7 +66,7 @@
         return answer
 
 
-class Parties:
+class Backends:
     """Engine clients, of which all plug-ins share one."""
 
     def __init__(self, party):
@@ -136,11 +136,11 @@
     """Records reports of crashes; bars requests if ``barring`` is set."""
 
     def __init__(self):
-        self.told = []
+        self.reports = []
         self.barring = False
 
     def report(self, fingerprint, name):
-        self.told.append((fingerprint, name))
+        self.reports.append((fingerprint, name))
 
     def barred(self, fingerprint):
         return self.barring
@@ -169,7 +169,7 @@
     """Return the parts that running an item needs."""
     return itemwork.WorkParts(
         clock,
-        Parties(ScriptedEngines(script)),
+        Backends(ScriptedEngines(script)),
         ActiveConfig(routes),
         Slots(),
         item_retry.Pace(),
--- a/tests/itemrig.py
+++ b/tests/itemrig.py
@@ -141,7 +141,7 @@
     active_config.routes = RigRoutes(broken, slots)
     return itemwork.WorkParts(
         clocks.SystemClock(),
-        hostkit.Parties(RigEngine(broken)),
+        hostkit.Backends(RigEngine(broken)),
         active_config,
         slots,
         RigPace(broken),
--- a/tests/test_access.py
+++ b/tests/test_access.py
@@ -246,7 +246,7 @@
         now = self.clock.monotonic()
         parts = forwarder.ForwarderParts(
             self.clock,
-            hostkit.Parties(DayEngines(self, key)),
+            hostkit.Backends(DayEngines(self, key)),
             self.config,
             DaySlots(self.rng),
             hostkit.CrashReports(),
--- a/tests/test_answer_cut.py
+++ b/tests/test_answer_cut.py
@@ -48,7 +48,7 @@
     loop.engines = dict(enumerate(held, 1))
     parts = forwarder.ForwarderParts(
         Clock(),
-        hostkit.Parties(engines.PlatformEngine()),
+        hostkit.Backends(engines.PlatformEngine()),
         hostkit.ActiveConfig([route]),
         Slots(len(held)),
         hostkit.CrashReports(),
--- a/tests/test_forwarder.py
+++ b/tests/test_forwarder.py
@@ -58,7 +58,7 @@
     slots.refusals = refusals
     parts = forwarder.ForwarderParts(
         clock,
-        hostkit.Parties(hostkit.ScriptedEngines(script)),
+        hostkit.Backends(hostkit.ScriptedEngines(script)),
         hostkit.ActiveConfig([route]),
         slots,
         hostkit.CrashReports(),
@@ -188,7 +188,7 @@
     good = [hostkit.GOOD] if status == 200 else []
     odd = [enginehealth.Outcome.NOTHING] * (sent - len(good))
     assert ends == odd + good
-    assert not held.parts.breaks.told
+    assert not held.parts.breaks.reports
 
 
 async def test_a_stream_torn_at_its_end_is_not_made_to_look_whole():
@@ -289,8 +289,8 @@
 async def test_each_break_is_told_to_all_hosts():
     held = forwarder_of([hostkit.BROKEN, hostkit.BROKEN], hostkit.RESUMABLE)
     await outcome(held)
-    fingerprints = {name for name, _ in held.parts.breaks.told}
-    assert len(held.parts.breaks.told) == 2
+    fingerprints = {name for name, _ in held.parts.breaks.reports}
+    assert len(held.parts.breaks.reports) == 2
     assert fingerprints == {held.request.fingerprint}
 
 
@@ -358,7 +358,7 @@
     ]
     held = forwarder_of(script, hostkit.RESUMABLE)
     assert await outcome(held) == 200
-    assert held.parts.breaks.told == []
+    assert held.parts.breaks.reports == []
 
 
 @pytest.mark.parametrize(
