--- a/camphortray/dispatch.py
+++ b/camphortray/dispatch.py
@@ -224,7 +224,7 @@
         """Start no new item; continue those with a partial answer here."""
         self.queue.only_begun = True
 
-    def closing(self) -> bool:
+    def must_flush(self) -> bool:
         """Return whether results should be written without batching."""
         return self.queue.only_begun or self.paused()
 
--- a/camphortray/shardrun.py
+++ b/camphortray/shardrun.py
@@ -53,7 +53,7 @@
             context.clock,
             interval_s,
             context.config.streams.record_limit_bytes,
-            dispatcher.closing,
+            dispatcher.must_flush,
         )
         self.stopping: set[str] = set()
         self.running: set[str] = set()
