--- a/camphortray/admission.py
+++ b/camphortray/admission.py
@@ -18,8 +18,8 @@
 
 # Time between two searches of the queues for requests that would be late.
 SWEEP_INTERVAL_S = 0.1
-# A request is refused at once if less than this share of the mean service
-# time is left until its deadline.
+# A request is refused if less than this share of the mean service time is
+# left between its expected start and its deadline.
 MIN_SERVICE_SHARE = 0.5
 
 Waiting = fairness.QueuedRequest[asyncio.Future[None]]
@@ -158,7 +158,7 @@
     def would_miss_deadline(
         self, gate: Gate, start_at: float, deadline_at: float
     ) -> bool:
-        """Return whether a request started then would end too late."""
+        """Return whether a request started at ``start_at`` would be late."""
         return (
             start_at + gate.window.service_time_s * MIN_SERVICE_SHARE
             > deadline_at
@@ -192,7 +192,7 @@
         return max(1.0, wait_s) * (1 + 2 * self.context.rng.random())
 
     def leave(self, ticket: Ticket) -> None:
-        """Return the ticket of a request that has ended."""
+        """Take back the ticket of a request that has ended."""
         gate = self.gates[ticket.service]
         gate.window.record_service_time(
             self.clock.monotonic() - ticket.entered_at
--- a/camphortray/limits.py
+++ b/camphortray/limits.py
@@ -15,11 +15,11 @@
 UNKNOWN_SHARE = 0.1
 # Time constant of the moving average of demand.
 DEMAND_WINDOW_S = 5.0
-# The state of a workspace with less demand, in requests per second, is
+# Demand in requests per second below which the state of a workspace is
 # dropped.
 MIN_DEMAND = 0.01
-# Burst, and demand, as a share of the limit up to which a host does not
-# report. Most workspaces call a host rarely and so cause no message.
+# Share of a limit that a host may admit as a burst, or see as demand, without
+# a report. Most workspaces call a host rarely and so cause no message.
 FREE_SHARE = 0.1
 # Demand is reported early if it exceeds the last report by this factor, but
 # not before this time since that report.
@@ -145,7 +145,7 @@
         state = self.states.get(key)
         if state is not None:
             if state.share is None:
-                # Requests must not suffer from the wait for the first share.
+                # Callers are not charged for the wait for the first share.
                 state.tokens = max(state.tokens, share.rate)
             state.share = share
             state.share_until = now + share.seconds
