--- a/camphortray/isolation.py
+++ b/camphortray/isolation.py
@@ -108,7 +108,7 @@
 
     @contextlib.asynccontextmanager
     async def alone(self, upstream: str) -> AsyncIterator[None]:
-        """Reserve an upstream once this host's other items have left it."""
+        """Reserve an upstream; wait for this host's other items to leave."""
         while upstream in self.reserved:
             await self.wait_left()
         self.reserved.add(upstream)
--- a/camphortray/poison.py
+++ b/camphortray/poison.py
@@ -10,7 +10,7 @@
 # many hosts report it, with slightly different clocks. An engine takes
 # longer to restart, so two crashes are never merged.
 SAME_CRASH_S = 3.0
-# Time within which facts reach all hosts. Suspects are not retried before,
+# Time within which facts reach all hosts. Suspects are not retried sooner,
 # so that every host knows all suspects of a crash and decides on complete
 # reports.
 SETTLE_S = 2.0
