--- a/tests/test_stalls.py
+++ b/tests/test_stalls.py
@@ -41,11 +41,11 @@
 
 
 @pytest.mark.parametrize("seed", [7, 12, 14, 16, 45])
-def test_all_hosts_ask_one_coordinator_and_give_all_back(seed):
+def test_all_hosts_ask_one_coordinator_and_release_all_slots(seed):
     """Engines and a coordinator that were well were given up by pauses."""
     played = test_slot_client
     stalls.run(
-        played.test_all_hosts_ask_one_coordinator_and_give_all_back(),
+        played.test_all_hosts_ask_one_coordinator_and_release_all_slots(),
         seed,
         every=100,
         longest_s=0.3,
@@ -57,7 +57,7 @@
     """Pauses in the middle of limits let engines that were well be left."""
     played = test_slot_client
     stalls.run(
-        played.test_all_hosts_ask_one_coordinator_and_give_all_back(),
+        played.test_all_hosts_ask_one_coordinator_and_release_all_slots(),
         seed,
         every=30,
         longest_s=0.2,
