--- a/camphortray/at_most_once.py
+++ b/camphortray/at_most_once.py
@@ -1,9 +1,9 @@
 """Runs non-idempotent calls at most once over the whole fleet.
 
-A call is claimed in ``calls.N`` and read back before it is dispatched,
-and only its claimer may ever dispatch it. What stands in the log decides;
-a claim that was given up is never dispatched, and is given back when it
-turns out to have landed.
+A call's claim is appended to the log ``calls.N`` and read back before the
+call is dispatched, and only the process that claimed it may dispatch it.
+A claim that timed out or was cancelled is never dispatched; if it was
+appended after all, it is released so that a retry can claim the call.
 """
 
 __all__ = ["AtMostOnce"]
@@ -36,18 +36,21 @@
 from camphortray import shards
 
 LOG = logs.logger("calls")
-# Longest that a claim may take, in seconds.
+# Time limit for appending a claim and reading it back, in seconds.
 CLAIM_S = 3.0
-# Longest that a resend waits for what the log holds now, in seconds.
+# Time limit for reading the log to its end on a retry, in seconds.
 SYNC_S = 1.0
-# Longest that a resend waits for the answer of a call that another host
-# appears to be running, in seconds.
+# Longest that a retry waits for the answer of a call that another host
+# reports as running, in seconds.
 RESEND_S = 5.0
+# Pause before a failed access to the log is repeated, in seconds.
 PAUSE_S = 1.0
+# Time limit for resolving an uncertain append to the log, in seconds.
 APPEND_S = 5.0
-# Bytes of answers not yet kept beyond which no new call is taken.
+# New calls are refused while more bytes of answers than this are waiting
+# to be stored.
 MAX_PENDING_BYTES = 16_777_216
-# Bytes of a record left for what encloses an answer's body.
+# Bytes of a record reserved for an answer's status, headers and framing.
 OVERHEAD_BYTES = 8192
 
 Send = Callable[[], Awaitable[calls.Answer]]
@@ -55,11 +58,11 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Running:
-    """A call under way on this host.
+    """A call in progress on this host.
 
     Attributes:
-      digest: Of its request.
-      task: Ends with its answer.
+      digest: Hash of its request.
+      task: Returns its answer.
     """
 
     digest: str
@@ -68,13 +71,13 @@
 
 @kernel.PARTS.register("entry")
 class AtMostOnce(kernel.Part):
-    """Claims calls, dispatches them once, keeps their answers.
+    """Claims calls, dispatches each once and stores its answer.
 
     Attributes:
-      active: Calls that a request is claiming or running here, by name.
-      given_up: Names of calls whose claim this process gave up and whose
-        fate is not settled yet; it dispatches none of them.
-      pending: Answers not yet kept, by name.
+      active: Calls being claimed or run by this process, by name.
+      releasing: Names of calls whose claim this process is releasing; none
+        of them is dispatched until that is done.
+      pending: Answers not yet stored in the log, by name.
     """
 
     name: ClassVar[str] = "calls"
@@ -88,7 +91,7 @@
             f"{config.host.name}/entry", context.incarnation
         )
         service = context.part(backends.Backends).log
-        self.courier = append_forwarder.AppendForwarder(
+        self.forwarder = append_forwarder.AppendForwarder(
             service,
             context.part(peers.Peers),
             grouping.Limits.from_config(config),
@@ -114,15 +117,15 @@
             for number in range(config.shards.calls)
         ]
         for shard in self.shards:
-            shard.journal.send = self.courier.send
+            shard.journal.send = self.forwarder.send
         self.active: dict[str, Running] = {}
-        self.watch = claim_probe.ClaimProbes(
+        self.probes = claim_probe.ClaimProbes(
             context.part(peers.Peers),
             self.members,
             self.writer,
             lambda name: name in self.active or name in self.pending,
         )
-        self.given_up: set[str] = set()
+        self.releasing: set[str] = set()
         self.pending: dict[str, calls.Answer] = {}
         self.tasks: set[asyncio.Task[Any]] = set()
 
@@ -136,12 +139,15 @@
             shard.start()
 
     def on_member(self, member: membership.Member) -> None:
-        """Look anew at who owns what."""
+        """Re-evaluate shard ownership after a membership change."""
         for shard in self.shards:
             shard.owner.wake()
 
     def grouping_host(self, stream: str) -> configs.Address | None:
-        """Return the peer that groups a stream, None if it is this one."""
+        """Return the peer that batches a stream's appends, or None.
+
+        None means that this host appends by itself.
+        """
         by_name = {m.name: m for m in self.members.live("entry")}
         first = shards.preferred(stream, by_name)
         if first is None or first == self.writer.name:
@@ -160,27 +166,27 @@
     ) -> calls.Answer:
         """Run a call unless it ran before.
 
-        Once claimed it goes on when its caller goes away, so that the
-        answer is kept for a resend.
+        The call continues when its caller disconnects, so that the answer
+        is stored for a retry.
 
         Args:
           request: The call.
           send: Dispatches it; raises ``UpstreamError`` or ``Refused``,
-            from which it must be clear whether it may have run.
+            whose ``ran`` must say whether the call may have run.
 
         Returns:
-          The answer, of this run or kept from the one before.
+          The answer of this run, or the stored one of an earlier run.
 
         Raises:
-          Refused: ``ran`` is "no" only if this call never was and never
-            will be dispatched by this request.
+          Refused: ``ran`` is "no" only if this request never dispatched
+            the call and never will.
         """
         running = self.active.get(request.name)
         if running is None:
             running = self.begin(request, send)
         elif running.digest != request.digest:
             raise callrequest.other_request()
-        # A resend shares the end of the call that is under way.
+        # A retry waits for the call in progress and gets the same answer.
         return await asyncio.shield(running.task)
 
     async def run_for_caller(
@@ -188,9 +194,10 @@
     ) -> calls.Answer:
         """Run a call as ``run`` does, but cancel it with its caller.
 
-        For an answer that is streamed to its caller meanwhile. ``send``
-        must turn a cancel before anything was sent into a ``Refused``
-        that says so; after any other the claim stays.
+        For an answer that is streamed to the caller while it is produced.
+        ``send`` must turn a cancellation before anything was sent into a
+        ``Refused`` whose ``ran`` is "no"; any other cancellation leaves
+        the claim in place.
         """
         if request.name in self.active:
             return await self.run(request, send)
@@ -206,15 +213,18 @@
     async def claim_and_run(
         self, request: callrequest.CallRequest, send: Send
     ) -> calls.Answer:
-        """Claim, dispatch and keep."""
+        """Claim a call, dispatch it and store its answer.
+
+        A call claimed before is answered without a second dispatch.
+        """
         shard = self.shard_of(request)
-        if request.name in self.given_up:
+        if request.name in self.releasing:
             raise callrequest.unconfirmed("an earlier claim is not settled")
-        held = shard.fold.calls.get(request.name)
-        if held is None:
-            held = await self.claim(shard, request)
-        if held is not None:
-            return await self.resend(shard, request, held)
+        earlier = shard.fold.calls.get(request.name)
+        if earlier is None:
+            earlier = await self.claim(shard, request)
+        if earlier is not None:
+            return await self.resend(shard, request, earlier)
         return await self.dispatch(shard, request, send)
 
     def shard_of(
@@ -229,10 +239,10 @@
     async def claim(
         self, shard: callshard.CallShard, request: callrequest.CallRequest
     ) -> calls.Call | None:
-        """Claim a call; return the call that was there before, if any.
+        """Claim a call; return the earlier call of that name, if any.
 
         Raises:
-          Refused: the claim could not be read back.
+          Refused: the claim was not confirmed by the log.
         """
         if self.pending_bytes() > MAX_PENDING_BYTES:
             raise callrequest.unconfirmed("too many answers wait for the log")
@@ -245,11 +255,11 @@
         except errors.LogRefused as error:
             raise callrequest.unconfirmed(str(error)) from error
         except errors.LogError as error:
-            # It may land yet; from now on it is never dispatched.
-            self.give_back(shard, request.name)
+            # The claim may still be appended later; release it then.
+            self.release(shard, request.name)
             raise callrequest.unconfirmed(str(error)) from error
         except asyncio.CancelledError:
-            self.give_back(shard, request.name)
+            self.release(shard, request.name)
             raise
         standing = shard.fold.standing(request.name, outcome)
         if standing is calls.Standing.VOID:
@@ -260,49 +270,56 @@
             return shard.fold.calls[request.name]
         return None
 
-    async def settle(self, shard: callshard.CallShard, name: str) -> None:
-        """Find out what became of a claim given up; give it back."""
+    async def release_claim(
+        self, shard: callshard.CallShard, name: str
+    ) -> None:
+        """Release a claim, once it is known whether it was appended."""
         while True:
             try:
                 await shard.journal.settle(APPEND_S)
-                held = shard.fold.calls.get(name)
-                if held is not None and held.writer == self.writer:
+                earlier = shard.fold.calls.get(name)
+                if earlier is not None and earlier.writer == self.writer:
                     await shard.append(calls.ABANDON, calls.CallAbandon(name))
                 break
             except errors.LogError as error:
-                LOG.warning("Claim of {} not settled: {}", name, error)
+                LOG.warning("Claim of call {} not released: {}", name, error)
                 await asyncio.sleep(PAUSE_S)
-        self.given_up.discard(name)
+        self.releasing.discard(name)
 
     async def resend(
         self,
         shard: callshard.CallShard,
         request: callrequest.CallRequest,
-        held: calls.Call,
+        earlier: calls.Call,
     ) -> calls.Answer:
         """Answer a call that was claimed before.
 
         Raises:
-          Refused: it is another request, or there is no answer.
+          Refused: the key belongs to another request, or no answer is
+            available.
         """
-        if held.digest != request.digest:
+        if earlier.digest != request.digest:
             raise callrequest.other_request()
-        answer = held.answer or self.pending.get(request.name)
+        answer = earlier.answer or self.pending.get(request.name)
         if answer is None:
             await shard.sync(SYNC_S)
-            answer = await self.answer_of_other(shard, request.name, held)
+            answer = await self.wait_for_answer(shard, request.name, earlier)
         if answer is None:
             raise callrequest.no_answer("no answer is known")
         return answer
 
-    async def answer_of_other(
-        self, shard: callshard.CallShard, name: str, held: calls.Call
+    async def wait_for_answer(
+        self, shard: callshard.CallShard, name: str, earlier: calls.Call
     ) -> calls.Answer | None:
-        """Return an answer that is not in the log yet, if one comes."""
-        if held.writer != self.writer:
-            if await self.watch.at_work(held.writer, name):
+        """Wait for an answer that this host has not read from the log.
+
+        Returns:
+          The answer, or None if there is none.
+        """
+        if earlier.writer != self.writer:
+            if await self.probes.is_running(earlier.writer, name):
                 return await shard.answer(name, RESEND_S)
-            # It may have been written while the claimer was asked.
+            # The answer may have been stored while the probe was running.
             await shard.sync(SYNC_S)
         call = shard.fold.calls.get(name)
         return call.answer if call is not None else None
@@ -313,16 +330,17 @@
         request: callrequest.CallRequest,
         send: Send,
     ) -> calls.Answer:
-        """Send a claimed call, once, and keep its answer.
+        """Send a claimed call once and store its answer.
 
         Raises:
-          Refused: it failed; the claim is given back if it did not run.
+          Refused: the call failed; its claim is released if it did not
+            run.
         """
         try:
             answer = await send()
         except errors.UpstreamError as error:
             if not error.ran:
-                self.give_back(shard, request.name)
+                self.release(shard, request.name)
             raise errors.Refused(
                 502,
                 "upstream_failed",
@@ -332,30 +350,33 @@
             ) from error
         except errors.Refused as refusal:
             if refusal.ran == "no":
-                self.give_back(shard, request.name)
+                self.release(shard, request.name)
             raise
-        self.keep(shard, request.name, answer)
+        self.store(shard, request.name, answer)
         return answer
 
-    def give_back(self, shard: callshard.CallShard, name: str) -> None:
-        """Let a resend claim a call that was not run."""
-        self.given_up.add(name)
-        self.spawn(self.settle(shard, name))
+    def release(self, shard: callshard.CallShard, name: str) -> None:
+        """Release the claim of a call that was not run, in the background.
+
+        A retry can then claim the call again.
+        """
+        self.releasing.add(name)
+        self.spawn(self.release_claim(shard, name))
 
-    def keep(
+    def store(
         self, shard: callshard.CallShard, name: str, answer: calls.Answer
     ) -> None:
-        """Keep an answer; its caller does not wait for that."""
+        """Store an answer in the background."""
         if len(answer.body) > shard.journal.record_limit - OVERHEAD_BYTES:
-            LOG.warning("Answer of {} is too large to keep.", name)
+            LOG.warning("Answer of call {} too large to store.", name)
             return
         self.pending[name] = answer
-        self.spawn(self.keep_on(shard, name, answer))
+        self.spawn(self.append_answer(shard, name, answer))
 
-    async def keep_on(
+    async def append_answer(
         self, shard: callshard.CallShard, name: str, answer: calls.Answer
     ) -> None:
-        """Append an answer until it is read back."""
+        """Append an answer, repeatedly, until it is read back."""
         while True:
             try:
                 await shard.append(
@@ -363,23 +384,25 @@
                 )
                 break
             except errors.LogError as error:
-                LOG.warning("Answer of {} not kept yet: {}", name, error)
+                LOG.warning("Answer of call {} not stored: {}", name, error)
                 await asyncio.sleep(PAUSE_S)
         del self.pending[name]
 
     def pending_bytes(self) -> int:
-        """Return the bytes of answers that wait for the log."""
+        """Return the size of the answers that are not yet stored."""
         return sum(len(answer.body) for answer in self.pending.values())
 
-    def spawn(self, work: Coroutine[Any, Any, Any]) -> "asyncio.Task[Any]":
-        """Run work in the background until done or stopped."""
-        task = asyncio.get_running_loop().create_task(work)
+    def spawn(
+        self, coroutine: Coroutine[Any, Any, Any]
+    ) -> "asyncio.Task[Any]":
+        """Run a coroutine in the background until it ends or ``stop``."""
+        task = asyncio.get_running_loop().create_task(coroutine)
         self.tasks.add(task)
-        task.add_done_callback(self.finished)
+        task.add_done_callback(self.on_task_done)
         return task
 
-    def finished(self, task: "asyncio.Task[Any]") -> None:
-        """Forget a task; its caller, if still there, has its error."""
+    def on_task_done(self, task: "asyncio.Task[Any]") -> None:
+        """Remove a finished task and mark its exception as retrieved."""
         self.tasks.discard(task)
         if not task.cancelled():
             task.exception()
@@ -388,7 +411,7 @@
         return [f"answer of {name} is not kept" for name in self.pending]
 
     async def drain(self) -> None:
-        # An answer not kept would be told as unknown to a resend.
+        # After an answer is lost, a retry is refused with ran "unknown".
         with contextlib.suppress(TimeoutError):
             async with asyncio.timeout(self.context.config.entry.drain_s):
                 while self.tasks:
@@ -400,4 +423,4 @@
             task.cancel()
         for shard in self.shards:
             await shard.stop()
-        self.courier.stop()
+        self.forwarder.stop()
--- a/camphortray/claim_probe.py
+++ b/camphortray/claim_probe.py
@@ -1,4 +1,4 @@
-"""Asks the host that claimed a call whether it is still at work on it."""
+"""Asks the host that claimed a call whether it is still running it."""
 
 __all__ = ["CallProbe", "CallState", "ClaimProbes"]
 
@@ -13,18 +13,18 @@
 from camphortray import peers
 from camphortray import records
 
-# Longest wait for the claimer's word, in seconds.
+# Time limit for the claiming host's reply, in seconds.
 ASK_S = 1.0
 
 
 @messages.message("calls.probe")
 @dataclasses.dataclass(frozen=True, slots=True)
 class CallProbe:
-    """Asks whether a call is under way.
+    """Asks whether a call is in progress.
 
     Attributes:
-      name: Of the call.
-      incarnation: Of the process that claimed it.
+      name: Name of the call.
+      incarnation: Incarnation of the process that claimed it.
     """
 
     name: str
@@ -34,20 +34,20 @@
 @messages.message("calls.state")
 @dataclasses.dataclass(frozen=True, slots=True)
 class CallState:
-    """Answers a probe.
+    """The reply to a probe.
 
     Attributes:
-      running: Whether an answer may still be written.
+      running: Whether the call may still be answered.
     """
 
     running: bool
 
 
 class ClaimProbes:
-    """Both sides of the question.
+    """Sends probes and replies to those of other hosts.
 
-    A resend must not be held back for an answer that nobody will write:
-    the claimer may have had no answer from the service itself.
+    Without a probe, a retry would wait in vain for the answer of a call
+    whose claiming host got no answer from the service.
     """
 
     def __init__(
@@ -64,12 +64,12 @@
         links.on(CallProbe, self.on_probe)
 
     async def on_probe(self, sender: peers.Sender, probe: CallProbe) -> Any:
-        """Answer for this process; an earlier life of it runs nothing."""
+        """Reply to a probe; an earlier incarnation runs no calls."""
         same = probe.incarnation == self.writer.incarnation
         return CallState(same and self.running(probe.name))
 
-    async def at_work(self, claimer: records.Writer, name: str) -> bool:
-        """Return whether the claimer says that it is at work on a call."""
+    async def is_running(self, claimer: records.Writer, name: str) -> bool:
+        """Return whether the claiming process reports a call as running."""
         if claimer == self.writer:
             return self.running(name)
         member = self.members.member(claimer.name)
--- a/tests/test_at_most_once.py
+++ b/tests/test_at_most_once.py
@@ -1,4 +1,4 @@
-"""Tests of calls that may run at most once, over real connections."""
+"""Tests of non-idempotent calls over real connections."""
 
 import asyncio
 
@@ -18,11 +18,11 @@
 from camphortray import standin_service
 from camphortray import tree as trees
 
-ONCE = (("camphortray-idempotent", "false"),)
+NON_IDEMPOTENT = (("camphortray-idempotent", "false"),)
 
 
-class World:
-    """Two entry hosts before one plain service."""
+class Fleet:
+    """Two entry hosts in front of one HTTP service."""
 
     def __init__(self, cluster):
         self.cluster = cluster
@@ -37,11 +37,11 @@
     def runs(self):
         return self.cluster.plain.runs
 
-    def keeper(self, host=0):
+    def at_most_once_part(self, host=0):
         return self.hosts[host].part("entry", at_most_once.AtMostOnce)
 
     def introduce(self):
-        """Let each host know the other."""
+        """Add each host to the other's member list."""
         members = [
             host.part("entry", membership.Membership) for host in self.hosts
         ]
@@ -49,105 +49,115 @@
             one.put(other.members[other.own_name])
 
     async def call(
-        self, host=0, key="k", body=b"fit", path="dispatch/7?a=b", headers=ONCE
+        self,
+        host=0,
+        key="k",
+        body=b"fit",
+        path="dispatch/7?a=b",
+        headers=NON_IDEMPOTENT,
     ):
         """Return status, ``Camphortray-Ran`` and body of one call."""
-        shown = [("authorization", f"Bearer {clusters.WORKSPACE_KEY}")]
+        sent = [("authorization", f"Bearer {clusters.WORKSPACE_KEY}")]
         if key:
-            shown.append(("idempotency-key", key))
+            sent.append(("idempotency-key", key))
         status, answered, data = await self.client.call(
             self.hosts[host].address,
             "POST",
             f"/v1/services/{clusters.PLAIN}/{path}",
-            [*shown, *headers],
+            [*sent, *headers],
             body,
         )
         ran = answered.get("camphortray-ran", "")
         return status, ran, msgspec.json.decode(data)
 
-    async def until(self, met):
-        """Wait until a stream's record makes something true."""
+    async def until(self, condition):
+        """Wait until a condition on the records read from the log holds."""
         changed = asyncio.Event()
         for host in range(len(self.hosts)):
             if "entry" in self.hosts[host].kernels:
-                for shard in self.keeper(host).shards:
+                for shard in self.at_most_once_part(host).shards:
                     shard.journal.listen(lambda _: changed.set())
         async with asyncio.timeout(10):
-            while not met():
+            while not condition():
                 changed.clear()
                 await changed.wait()
 
 
 @pytest.fixture
-async def world(monkeypatch):
+async def fleet(monkeypatch):
     monkeypatch.setattr(at_most_once, "CLAIM_S", 0.5)
     monkeypatch.setattr(at_most_once, "PAUSE_S", 0.05)
     monkeypatch.setattr(journal, "READ_BACK_S", 0.05)
     monkeypatch.setattr(journal, "MAX_PAUSE_S", 0.1)
     cluster = clusters.Cluster(engines=1, hosts=2)
     async with cluster:
-        made = World(cluster)
-        for shard in made.keeper(0).shards + made.keeper(1).shards:
+        fleet = Fleet(cluster)
+        for shard in (
+            fleet.at_most_once_part(0).shards
+            + fleet.at_most_once_part(1).shards
+        ):
             await shard.journal.caught_up.wait()
-        yield made
-        await made.client.close()
+        yield fleet
+        await fleet.client.close()
 
 
-async def test_a_resend_to_any_host_gets_the_kept_answer(world):
-    # The caller got no answer and asks again, there or elsewhere.
-    status, _, first = await world.call()
+async def test_a_resend_to_any_host_gets_the_kept_answer(fleet):
+    # A retry, to the same or the other host, must get the stored answer
+    # without a second run of the service.
+    status, _, first = await fleet.call()
     assert (status, first["path"]) == (200, "/dispatch/7")
     for host in (0, 1):
-        await world.until(lambda: kept(world, "k"))
-        assert await world.call(host) == (200, "", first)
-    status, ran, refusal = await world.call(1, body=b"other")
+        await fleet.until(lambda: stored(fleet, "k"))
+        assert await fleet.call(host) == (200, "", first)
+    status, ran, refusal = await fleet.call(1, body=b"other")
     assert (status, ran) == (409, "no")
     assert refusal["error"]["code"] == "other_request"
-    assert world.runs == {"k": 1}
+    assert fleet.runs == {"k": 1}
 
 
 @pytest.mark.parametrize("host", [0, 1])
-async def test_a_resend_shares_the_end_of_a_call_under_way(world, host):
-    # The caller loses patience while the service is still at work and
-    # asks again, there or elsewhere. Both get the one answer; before, the
-    # second was told "unknown" although its answer was about to come.
-    world.introduce()
-    world.cluster.plain.faults.set("delay_s", 0.3)
-    first = asyncio.ensure_future(world.call())
-    while not world.runs:
+async def test_a_resend_shares_the_end_of_a_call_under_way(fleet, host):
+    # The caller retries, to the same or the other host, while the service
+    # is still running the call. Both requests must get the one answer; a
+    # fault refused the retry with ran "unknown".
+    fleet.introduce()
+    fleet.cluster.plain.faults.set("delay_s", 0.3)
+    first = asyncio.ensure_future(fleet.call())
+    while not fleet.runs:
         await asyncio.sleep(0)
-    second = await world.call(host)
+    second = await fleet.call(host)
     assert second == await first
-    assert second[0] == 200 and world.runs == {"k": 1}
+    assert second[0] == 200 and fleet.runs == {"k": 1}
 
 
-async def test_a_resend_is_not_held_back_for_an_answer_nobody_has(world):
-    # The service ran the call and its answer was lost. The claimer knows
-    # that none will come, so a resend elsewhere is told so at once.
-    world.introduce()
-    world.cluster.plain.faults.set("lose_answers", 1)
-    assert (await world.call())[:2] == (502, "unknown")
+async def test_a_resend_is_not_held_back_for_an_answer_nobody_has(fleet):
+    # The service ran the call and its answer was lost. The claiming host
+    # reports that the call has ended, so a retry to the other host must
+    # be refused without waiting RESEND_S.
+    fleet.introduce()
+    fleet.cluster.plain.faults.set("lose_answers", 1)
+    assert (await fleet.call())[:2] == (502, "unknown")
     async with asyncio.timeout(at_most_once.RESEND_S / 2):
-        assert (await world.call(1))[:2] == (409, "unknown")
-    assert world.runs == {"k": 1}
+        assert (await fleet.call(1))[:2] == (409, "unknown")
+    assert fleet.runs == {"k": 1}
 
 
-async def settled(keeper):
-    """Wait until the fate of all claims given up is known."""
+async def claims_released(part):
+    """Wait until a host has released all claims it could not confirm."""
     async with asyncio.timeout(10):
-        while keeper.given_up:
-            await asyncio.wait(set(keeper.tasks))
+        while part.releasing:
+            await asyncio.wait(set(part.tasks))
 
 
-def kept(world, key, service=clusters.PLAIN):
-    """Return whether every host has read the answer of a call."""
+def stored(fleet, key, service=clusters.PLAIN):
+    """Return whether all running hosts have read a call's answer."""
     name = f"{clusters.WORKSPACE}/{service}/{key}"
     return all(
         any(
             name in shard.fold.calls and shard.fold.calls[name].answer
             for shard in host.part("entry", at_most_once.AtMostOnce).shards
         )
-        for host in world.hosts
+        for host in fleet.hosts
         if "entry" in host.kernels
     )
 
@@ -155,7 +165,7 @@
 @pytest.mark.parametrize(
     ("key", "path", "headers", "status"),
     [
-        ("", "dispatch", ONCE, 400),
+        ("", "dispatch", NON_IDEMPOTENT, 400),
         ("", "dispatch", (), 400),
         ("k", "dispatch", (), 200),
         ("", "look", (), 200),
@@ -163,13 +173,13 @@
     ],
 )
 async def test_route_and_caller_say_what_may_not_repeat(
-    world, key, path, headers, status
+    fleet, key, path, headers, status
 ):
-    got, ran, _ = await world.call(key=key, path=path, headers=headers)
+    got, ran, _ = await fleet.call(key=key, path=path, headers=headers)
     assert (got, ran) == (status, "no" if status == 400 else "")
     claimed = sum(
         len(s.records)
-        for name, s in world.cluster.platform.log.streams.items()
+        for name, s in fleet.cluster.platform.log.streams.items()
         if name.startswith("calls.")
         for r in s.records
         if b"call.claim" in r.body
@@ -184,33 +194,33 @@
         {"log_lose_before": 2},
     ],
 )
-async def test_lost_answers_of_the_log_do_no_harm(world, fault):
-    # The log's answer to a claim is lost, after or before it took it.
+async def test_lost_answers_of_the_log_do_no_harm(fleet, fault):
+    # The log's reply to a claim is lost, after or before the append.
     for name, value in fault.items():
-        world.faults.set(name, value)
-    assert (await world.call())[0] == 200
-    assert world.runs == {"k": 1}
-
-
-async def test_an_outage_refuses_as_not_run_and_a_resend_runs(world):
-    # The claim cannot be read back. The caller is told "not run" and it
-    # is: nothing reaches the service, also not when the claim lands
-    # later; then it is given back, and a resend runs.
-    world.faults.set("log_down", True)
-    assert (await world.call())[:2] == (503, "no")
-    assert not world.runs
-    world.faults.set("log_down", False)
-    await settled(world.keeper())
-    assert (await world.call(1))[0] == 200
-    assert world.runs == {"k": 1}
-
-
-async def test_a_claim_that_lands_after_giving_up_is_given_back(world):
-    # The log takes the claim, but cannot be read until the host has told
-    # its caller "not run". The late claim must not block a resend.
-    keeper = world.keeper()
+        fleet.faults.set(name, value)
+    assert (await fleet.call())[0] == 200
+    assert fleet.runs == {"k": 1}
+
+
+async def test_an_outage_refuses_as_not_run_and_a_resend_runs(fleet):
+    # The claim cannot be read back, so the call is refused with ran "no".
+    # It must not be dispatched when the claim is appended later; the claim
+    # is then released, and a retry runs.
+    fleet.faults.set("log_down", True)
+    assert (await fleet.call())[:2] == (503, "no")
+    assert not fleet.runs
+    fleet.faults.set("log_down", False)
+    await claims_released(fleet.at_most_once_part())
+    assert (await fleet.call(1))[0] == 200
+    assert fleet.runs == {"k": 1}
+
+
+async def test_a_claim_that_lands_after_giving_up_is_given_back(fleet):
+    # The claim is appended, but the host cannot read the log until it has
+    # refused the call with ran "no". The claim must not block a retry.
+    part = fleet.at_most_once_part()
     request = callrequest.CallRequest.of("w", "s", "k", 60, b"body")
-    shard = keeper.shard_of(request)
+    shard = part.shard_of(request)
     await shard.journal.caught_up.wait()
     await shard.journal.stop()
     sent = []
@@ -220,15 +230,15 @@
         return calls.Answer(200, (), b"")
 
     with pytest.raises(errors.Refused) as caught:
-        await keeper.run(request, send)
+        await part.run(request, send)
     assert caught.value.ran == "no" and not sent
-    other = world.keeper(1)
+    other = fleet.at_most_once_part(1)
     with pytest.raises(errors.Refused) as caught:
         await other.run(request, send)
     assert caught.value.ran == "unknown" and not sent
     shard.journal.start()
-    await settled(keeper)
-    await world.until(
+    await claims_released(part)
+    await fleet.until(
         lambda: request.name not in other.shard_of(request).fold.calls
     )
     assert (await other.run(request, send)).status == 200
@@ -243,90 +253,92 @@
         ({"drain": True}, (503, "no"), (200, "")),
     ],
 )
-async def test_a_failed_call_is_never_sent_twice(world, fault, first, again):
-    # The service breaks off after or before it ran, which looks alike
-    # from outside; or it says that it did not run, and a resend may.
+async def test_a_failed_call_is_never_sent_twice(fleet, fault, first, again):
+    # The service closes the connection after or before it ran the call,
+    # which the caller cannot tell apart, so no retry may run. A draining
+    # service reports that it did not run the call, so a retry runs.
     for name, value in fault.items():
-        world.cluster.plain.faults.set(name, value)
-    got = (await world.call())[:2]
+        fleet.cluster.plain.faults.set(name, value)
+    got = (await fleet.call())[:2]
     assert got[1] == first[1] and got[0] in (first[0], 502)
-    world.cluster.plain.faults.set("drain", False)
-    for host in world.hosts:
+    fleet.cluster.plain.faults.set("drain", False)
+    for host in fleet.hosts:
         host.part("entry", at_most_once.membership.Membership).publish(
             "upstream-leaving", f"{clusters.PLAIN}-0", False
         )
-    await settled(world.keeper())
-    assert (await world.call(1))[:2] == again
-    assert world.runs["k"] <= 1
-
-
-async def test_a_host_lost_in_the_middle_leaves_unknown(world):
-    # The host is lost after dispatch, before the answer is kept. The
-    # resend is told "unknown" by the other host: it may have run.
-    world.cluster.plain.faults.set("delay_s", 30.0)
-    task = asyncio.ensure_future(world.call())
-    while not world.runs:
+    await claims_released(fleet.at_most_once_part())
+    assert (await fleet.call(1))[:2] == again
+    assert fleet.runs["k"] <= 1
+
+
+async def test_a_host_lost_in_the_middle_leaves_unknown(fleet):
+    # The host stops after dispatch, before the answer is stored. The call
+    # may have run, so the other host must refuse a retry with ran
+    # "unknown".
+    fleet.cluster.plain.faults.set("delay_s", 30.0)
+    task = asyncio.ensure_future(fleet.call())
+    while not fleet.runs:
         await asyncio.sleep(0)
-    again = asyncio.ensure_future(world.call())
-    await world.hosts[0].stop("entry")
+    again = asyncio.ensure_future(fleet.call())
+    await fleet.hosts[0].stop("entry")
     await asyncio.wait({task, again})
     assert task.exception() and again.exception()
-    assert (await world.call(1))[:2] == (409, "unknown")
-    assert world.runs == {"k": 1}
+    assert (await fleet.call(1))[:2] == (409, "unknown")
+    assert fleet.runs == {"k": 1}
 
 
-async def test_a_caller_who_goes_away_finds_the_answer_later(world):
-    # The caller closes while the service works; the call goes on and the
-    # answer is kept for the resend.
-    world.cluster.plain.faults.set("delay_s", 0.2)
-    task = asyncio.ensure_future(world.call())
-    while not world.runs:
+async def test_a_caller_who_goes_away_finds_the_answer_later(fleet):
+    # The caller disconnects while the service runs the call. The call must
+    # continue and its answer be stored for a retry.
+    fleet.cluster.plain.faults.set("delay_s", 0.2)
+    task = asyncio.ensure_future(fleet.call())
+    while not fleet.runs:
         await asyncio.sleep(0)
     task.cancel()
     await asyncio.wait({task})
-    await world.until(lambda: kept(world, "k"))
-    assert (await world.call(1))[0] == 200
-    assert world.runs == {"k": 1}
+    await fleet.until(lambda: stored(fleet, "k"))
+    assert (await fleet.call(1))[0] == 200
+    assert fleet.runs == {"k": 1}
 
 
 async def test_claims_go_by_the_first_host_and_directly_without_it(
-    world, monkeypatch
+    fleet, monkeypatch
 ):
-    # Hosts hand claims to the host that bundles them; when that one is
-    # gone but still listed, they append themselves under the same id.
-    # None is given up here, as it is beside load within the hurried time of
-    # the other tests; the call is then refused as not run, which it was not.
+    # Hosts forward claims to the host that batches a stream's appends. When
+    # that host is down but still listed, they append by themselves under
+    # the same record id. The shortened CLAIM_S of the other tests is too
+    # small here: under load claims time out and the calls are refused.
     monkeypatch.setattr(at_most_once, "CLAIM_S", 60.0)
-    world.introduce()
-    bundlers = [world.keeper(n).courier.bundlers for n in (0, 1)]
-    for mine in bundlers:
-        mine.clear()
-    await asyncio.gather(*(world.call(n % 2, f"k{n}") for n in range(12)))
-    assert set(world.runs.values()) == {1} and len(world.runs) == 12
+    fleet.introduce()
+    bundlers = [fleet.at_most_once_part(n).forwarder.bundlers for n in (0, 1)]
+    for by_stream in bundlers:
+        by_stream.clear()
+    await asyncio.gather(*(fleet.call(n % 2, f"k{n}") for n in range(12)))
+    assert set(fleet.runs.values()) == {1} and len(fleet.runs) == 12
     assert bundlers[0] or bundlers[1]
     assert not set(bundlers[0]) & set(bundlers[1])
-    await world.hosts[1].stop("entry")
+    await fleet.hosts[1].stop("entry")
     for number in range(4):
-        assert (await world.call(0, f"later{number}"))[0] == 200
-    assert world.runs["later3"] == 1
+        assert (await fleet.call(0, f"later{number}"))[0] == 200
+    assert fleet.runs["later3"] == 1
 
 
-async def test_expired_calls_are_forgotten_by_the_owner(world):
-    assert (await world.call())[0] == 200
-    await world.until(lambda: kept(world, "k"))
+async def test_expired_calls_are_forgotten_by_the_owner(fleet):
+    assert (await fleet.call())[0] == 200
+    await fleet.until(lambda: stored(fleet, "k"))
     for host in (0, 1):
-        for shard in world.keeper(host).shards:
+        for shard in fleet.at_most_once_part(host).shards:
             shard.clock.skew += 2 * settings.key_for("call.keep_s").default
             await shard.forget()
-    await world.until(
-        lambda: not any(s.fold.calls for s in world.keeper().shards)
+    await fleet.until(
+        lambda: not any(s.fold.calls for s in fleet.at_most_once_part().shards)
     )
 
 
 @pytest.mark.parametrize("stream", [False, True])
-async def test_a_completion_may_be_marked_to_run_once(world, stream):
-    # A question that may not repeat is claimed as a call is. The resend,
-    # to the other host, gets the same bytes and no engine sees it.
+async def test_a_completion_may_be_marked_to_run_once(fleet, stream):
+    # A non-idempotent completion is claimed like a call. A retry to the
+    # other host must get the same bytes without reaching an engine.
     body = {
         "model": clusters.MODEL,
         "max_tokens": 4,
@@ -336,12 +348,12 @@
     headers = [
         ("authorization", f"Bearer {clusters.WORKSPACE_KEY}"),
         ("idempotency-key", "q"),
-        *ONCE,
+        *NON_IDEMPOTENT,
     ]
     answers = []
-    for host in world.hosts:
+    for host in fleet.hosts:
         answers.append(
-            await world.client.call(
+            await fleet.client.call(
                 host.address,
                 "POST",
                 "/v1/chat/completions",
@@ -349,28 +361,28 @@
                 msgspec.json.encode(body),
             )
         )
-        await world.until(lambda: kept(world, "q", clusters.SERVICE))
-    (first, again) = [(status, data) for status, _, data in answers]
-    assert first == again and first[0] == 200
-    assert sum(len(e.seen) for e in world.cluster.engines.values()) == 1
+        await fleet.until(lambda: stored(fleet, "q", clusters.SERVICE))
+    (first, second) = [(status, data) for status, _, data in answers]
+    assert first == second and first[0] == 200
+    assert sum(len(e.seen) for e in fleet.cluster.engines.values()) == 1
 
 
 @pytest.mark.parametrize(
     ("path", "fault", "expected", "runs"),
     [
-        # May repeat: tried elsewhere, also after it may have run.
+        # Idempotent: retried at the other upstream even if it may have run.
         ("look", "lose_answers", (200, ""), 2),
         ("look", "lose_before", (200, ""), 1),
-        # May not: the first that may have run it is the last.
+        # Non-idempotent: not retried once an upstream may have run it.
         ("dispatch", "lose_answers", (502, "unknown"), 1),
         ("dispatch", "lose_before", (502, "unknown"), 0),
-        # Not run by the word of the service: tried elsewhere by both.
+        # Reported as not run: both are retried at the other upstream.
         ("look", "drain", (200, ""), 1),
         ("dispatch", "drain", (200, ""), 1),
     ],
 )
 async def test_only_what_may_repeat_is_tried_again(
-    world, path, fault, expected, runs
+    fleet, path, fault, expected, runs
 ):
     second = standin_service.ServiceStandin(clusters.PLAIN)
     await second.start(configs.Address("127.0.0.1", 0))
@@ -380,39 +392,39 @@
         prefix + "address": str(second.server.address),
         prefix + "plugin": "http",
     }
-    tree = world.hosts[0].part("entry", trees.Tree)
+    tree = fleet.hosts[0].part("entry", trees.Tree)
     seen = asyncio.Event()
     tree.listen(
         lambda view: (
             len(view.services[clusters.PLAIN].upstreams) == 2 and seen.set()
         )
     )
-    world.cluster.publish(node, changed)
+    fleet.cluster.publish(node, changed)
     async with asyncio.timeout(10):
         await seen.wait()
-    both = (world.cluster.plain, second)
-    # Whichever is tried first fails; the other is well again.
+    both = (fleet.cluster.plain, second)
+    # Only the upstream that is tried first fails.
     count = 1
     for each in both:
         each.faults.set(fault, count)
-    keep = [each.faults for each in both]
-    for mine, other in (keep, keep[::-1]):
-        heal(mine, other, fault)
-    status, ran, _ = await world.call(path=path, headers=())
+    plans = [each.faults for each in both]
+    for own, other in (plans, plans[::-1]):
+        clear_in_other(own, other, fault)
+    status, ran, _ = await fleet.call(path=path, headers=())
     await second.stop()
     assert (status, ran) == expected
     assert sum(sum(each.runs.values()) for each in both) == runs
 
 
-def heal(mine, other, fault):
-    """Let a fault that struck here not strike there as well."""
-    values = mine.values
+def clear_in_other(own, other, fault):
+    """Clear a fault in another fault plan once it has fired in this one."""
+    values = own.values
 
-    class Struck(dict):
+    class FiringValues(dict):
         def __getitem__(self, name):
             value = super().__getitem__(name)
             if name == fault and value:
                 other.values[fault] = 0
             return value
 
-    mine.values = Struck(values)
+    own.values = FiringValues(values)
