--- a/camphortray/calls.py
+++ b/camphortray/calls.py
@@ -1,4 +1,4 @@
-"""Fold of ``calls.N``: non-idempotent calls, each run at most once."""
+"""State of the log ``calls.N``: non-idempotent calls and their answers."""
 
 __all__ = [
     "Answer",
@@ -31,7 +31,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Answer:
-    """A kept answer."""
+    """The stored answer of a call."""
 
     status: int
     headers: tuple[tuple[str, str], ...]
@@ -40,14 +40,15 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class CallClaim:
-    """Claims a call; the first of a key wins.
+    """Claims a call; the first claim of a key wins.
 
     Attributes:
       key: Workspace, service and the caller's idempotency key.
-      digest: Of the request, to tell another one under the same key.
-      at: When it was made, in seconds since 1970; only for the owner's
-        decision to forget it.
-      keep_s: How long it is kept from then.
+      digest: Hash of the request, to detect another request that uses the
+        same key.
+      at: Time of the claim, in seconds since 1970; used only to find
+        expired calls.
+      keep_s: Seconds from ``at`` until the call expires.
     """
 
     key: str
@@ -66,17 +67,17 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class CallAbandon:
-    """Gives up a claim that was certainly never sent."""
+    """Releases a claim whose call was certainly not run."""
 
     key: str
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Forgotten:
-    """One call whose keeping time is over.
+    """One expired call.
 
-    The offset tells a claim from a later one of the same key: a claim
-    given back and made anew meanwhile must not be dropped while it runs.
+    The offset tells a claim from a later one of the same key: a key that
+    was released and claimed again must not be removed while its call runs.
     """
 
     key: str
@@ -85,7 +86,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class CallForget:
-    """Ends the keeping time of calls."""
+    """Removes expired calls."""
 
     calls: tuple[Forgotten, ...]
 
@@ -95,11 +96,11 @@
     """One call.
 
     Attributes:
-      offset: Of its claim.
-      writer: Who claimed it; nobody else may ever send it.
-      digest: Of the request.
-      until: End of the keeping time, in seconds since 1970.
-      answer: The kept answer, or None while there is none.
+      offset: Offset of its claim in the log.
+      writer: The process that claimed it; no other may dispatch it.
+      digest: Hash of the request.
+      until: Time at which it expires, in seconds since 1970.
+      answer: The stored answer, or None while there is none.
     """
 
     offset: int
@@ -110,12 +111,13 @@
 
 
 class Standing(enum.Enum):
-    """What came of a claim.
+    """The result of a claim.
 
     Attributes:
-      MINE: It stands; its claimer may dispatch, once.
+      MINE: The claim is valid; its writer may dispatch the call once.
       OTHER: The call was claimed before.
-      VOID: It does not stand, and nothing else is known of the call.
+      VOID: The claim is not valid, and it is not known whether the call
+        was run.
     """
 
     MINE = "mine"
@@ -124,7 +126,7 @@
 
 
 class CallsFold(folds.Fold):
-    """All calls of a shard, by key."""
+    """The calls of a shard, by key."""
 
     owned = frozenset({FORGET})
 
@@ -141,7 +143,7 @@
         )
 
     def on_call_claim(self, offset: int, record: records.Record) -> None:
-        """Take the first claim of a key."""
+        """Add a call unless its key is already claimed."""
         claim = records.typed(record.body, CallClaim)
         if claim.key in self.calls:
             raise folds.Refuse("claimed before")
@@ -151,70 +153,74 @@
         )
 
     def on_answer(self, offset: int, record: records.Record) -> None:
-        """Keep the answer given to the claim's writer."""
+        """Store a call's first answer, from the writer of its claim."""
         body = records.typed(record.body, CallAnswer)
-        call = self.held_by(body.key, record.id.writer)
+        call = self.claimed_by(body.key, record.id.writer)
         if call.answer is None:
             call.answer = body.answer
 
     def on_abandon(self, offset: int, record: records.Record) -> None:
-        """Let a key be claimed anew; only its claimer can know it may."""
+        """Remove an unanswered call, at the request of its claimer only."""
         body = records.typed(record.body, CallAbandon)
-        call = self.held_by(body.key, record.id.writer)
+        call = self.claimed_by(body.key, record.id.writer)
         if call.answer is not None:
             raise folds.Refuse("answered")
         del self.calls[body.key]
 
-    def held_by(self, key: str, writer: records.Writer) -> Call:
-        """Return the call if ``writer`` claimed it."""
+    def claimed_by(self, key: str, writer: records.Writer) -> Call:
+        """Return the call of a key that ``writer`` claimed.
+
+        Raises:
+          Refuse: another writer claimed it, or none.
+        """
         call = self.calls.get(key)
         if call is None or call.writer != writer:
             raise folds.Refuse("not the claimer")
         return call
 
     def on_forget(self, offset: int, record: records.Record) -> None:
-        """Drop calls whose keeping time is over."""
-        for call in records.typed(record.body, CallForget).calls:
-            held = self.calls.get(call.key)
-            if held is not None and held.offset == call.offset:
-                del self.calls[call.key]
+        """Remove expired calls."""
+        for expired in records.typed(record.body, CallForget).calls:
+            call = self.calls.get(expired.key)
+            if call is not None and call.offset == expired.offset:
+                del self.calls[expired.key]
 
     def standing(self, name: str, outcome: folds.Outcome) -> Standing:
-        """Return what came of a claim that was read back.
+        """Return the result of a claim that was read back.
 
         Args:
           name: The call's key.
-          outcome: What the fold made of the claim.
+          outcome: Outcome of the claim's record.
         """
-        held = self.calls.get(name)
+        call = self.calls.get(name)
         if not outcome.valid:
-            return Standing.VOID if held is None else Standing.OTHER
-        if held is None or held.offset != outcome.offset:
-            # Read late, e.g. by a process that was paused for longer
-            # than the keeping time: somebody else may have run it since.
+            return Standing.VOID if call is None else Standing.OTHER
+        if call is None or call.offset != outcome.offset:
+            # The claim was read late, e.g. by a process that was paused
+            # until it had expired: another process may have run the call.
             return Standing.VOID
         return Standing.MINE
 
     def expired(
         self, now: float, lost: Callable[[records.Writer], bool], limit: int
     ) -> CallForget:
-        """Return what an owner may forget, at most ``limit`` calls.
+        """Return the record that removes expired calls.
 
-        A call without an answer is kept on while its claimer lives: it
-        may still be running, and once forgotten a resend would run it a
+        An unanswered call is retained while its claimer is alive: it may
+        still be running, and after its removal a retry would run it a
         second time.
 
         Args:
           now: Seconds since 1970.
-          lost: Says whether a claimer is certainly not at work.
-          limit: Most calls in one record.
+          lost: Returns whether a claimer certainly runs no calls.
+          limit: Maximum number of calls in the record.
         """
-        found = (
+        removable = (
             Forgotten(key, call.offset)
             for key, call in self.calls.items()
             if call.until <= now and (call.answer or lost(call.writer))
         )
-        return CallForget(tuple(itertools.islice(found, limit)))
+        return CallForget(tuple(itertools.islice(removable, limit)))
 
     def dump(self) -> dict[str, Any]:
         calls = {key: dataclasses.asdict(c) for key, c in self.calls.items()}
