--- a/camphortray/callshard.py
+++ b/camphortray/callshard.py
@@ -1,4 +1,4 @@
-"""One shard of non-idempotent calls on one host."""
+"""One host's replica of a shard of non-idempotent calls."""
 
 __all__ = ["CallShard"]
 
@@ -21,103 +21,119 @@
 from camphortray import tasks
 
 LOG = logs.logger("calls")
-# From one look for calls to forget to the next, in seconds.
+# Interval between removals of expired calls, in seconds.
 FORGET_S = 30.0
-# Calls forgotten by one record.
+# Maximum number of calls removed by one record.
 FORGET_CALLS = 1000
+# Time limit for an append to the log, in seconds.
 APPEND_S = 5.0
 
 
 class CallShard:
-    """The fold of a ``calls.N``, followed, owned and kept short."""
+    """Reads a log ``calls.N``, competes to own it, and compacts it.
+
+    Attributes:
+      journal: Reads the log and appends to it.
+      owner: Competes for the ownership of the shard.
+      compactor: Writes snapshots and trims the log.
+      task: Removes expired calls.
+      changed: Set, and replaced by a new event, after each record read.
+    """
 
     def __init__(
         self,
-        held: journal.Journal,
+        log: journal.Journal,
         roster: ownership.Roster,
         retention_s: float,
         clock: clocks.Clock,
     ) -> None:
-        self.journal = held
+        self.journal = log
         self.clock = clock
-        self.owner = ownership.Owner(held, roster)
+        self.owner = ownership.Owner(log, roster)
         self.compactor = compaction.Compactor(
-            held, retention_s, clock.wall, self.snapshot_rank
+            log, retention_s, clock.wall, self.snapshot_rank
         )
         self.task: asyncio.Task[None] | None = None
-        self.news = asyncio.Event()
-        held.listen(self.on_outcome)
+        self.changed = asyncio.Event()
+        log.listen(self.on_outcome)
 
     @property
     def fold(self) -> calls.CallsFold:
-        """State of the shard."""
+        """The calls of the shard."""
         fold = self.journal.fold
         assert isinstance(fold, calls.CallsFold)
         return fold
 
     def snapshot_rank(self) -> int:
-        """Let the owner write snapshots, others if it does not."""
+        """Return this host's rank among writers of snapshots.
+
+        The owner has rank 0; the others write one only if it does not.
+        """
         return 0 if self.owner.owned else self.owner.rank() + 1
 
     def start(self) -> None:
-        """Follow, own and tidy."""
+        """Start reading, competing for ownership, and compacting."""
         self.journal.start()
         self.owner.start()
         self.compactor.start()
         self.task = asyncio.get_running_loop().create_task(
-            tasks.forever("tidying of calls", self.tidy)
+            tasks.forever("removal of expired calls", self.forget_regularly)
         )
 
     async def append(
         self, kind: str, body: Any, timeout_s: float = APPEND_S
     ) -> folds.Outcome:
-        """Append a record; see ``Journal.append``."""
-        plain = msgspec.to_builtins(body, builtin_types=(bytes,))
+        """Append a record under the current epoch; see ``Journal.append``."""
+        fields = msgspec.to_builtins(body, builtin_types=(bytes,))
         return await self.journal.append(
-            kind, plain, self.owner.epoch, timeout_s
+            kind, fields, self.owner.epoch, timeout_s
         )
 
     async def sync(self, timeout_s: float) -> None:
-        """Read on to the end of the log, if it can be reached in time."""
+        """Read the log to its end, unless that fails or times out."""
         with contextlib.suppress(errors.LogError, TimeoutError):
             async with asyncio.timeout(timeout_s):
                 await self.journal.sync()
 
     def on_outcome(self, outcome: folds.Outcome) -> None:
-        """Wake those that wait for an answer."""
-        news, self.news = self.news, asyncio.Event()
-        news.set()
+        """Wake the waiters in ``answer``."""
+        changed, self.changed = self.changed, asyncio.Event()
+        changed.set()
 
     async def answer(self, name: str, timeout_s: float) -> calls.Answer | None:
         """Wait for the answer of a call.
 
         Returns:
-          The answer, or None if it stays away or the claim was given
-          back.
+          The answer, or None if the wait timed out or the call was
+          removed.
         """
         with contextlib.suppress(TimeoutError):
             async with asyncio.timeout(timeout_s):
                 while name in self.fold.calls:
                     if self.fold.calls[name].answer is not None:
                         break
-                    await self.news.wait()
+                    await self.changed.wait()
         call = self.fold.calls.get(name)
         return call.answer if call is not None else None
 
-    async def tidy(self) -> None:
-        """Forget calls whose keeping time is over."""
+    async def forget_regularly(self) -> None:
+        """Remove expired calls at regular intervals."""
         while True:
             await asyncio.sleep(FORGET_S)
             try:
                 await self.forget()
             except errors.LogError as error:
-                LOG.warning("{}: {}", self.journal.stream, error)
+                LOG.warning(
+                    "Expired calls of {} not removed: {}",
+                    self.journal.stream,
+                    error,
+                )
 
     async def forget(self) -> None:
-        """Forget what has expired, if this host owns the shard.
+        """Remove expired calls, if this host owns the shard.
 
         Raises:
-          LogError: the log cannot be reached.
+          LogError: the record was not appended.
         """
         if not self.owner.owned:
             return
@@ -126,14 +142,14 @@
             await self.append(calls.FORGET, expired)
 
     def lost(self, claimer: records.Writer) -> bool:
-        """Return whether a claimer is certainly not at work on a call."""
+        """Return whether a claimer certainly runs no calls any more."""
         writer = self.journal.writer
         if claimer.name == writer.name:
             return claimer.incarnation < writer.incarnation
         return self.owner.sight(claimer) is not takeover.Sight.LIVE
 
     async def stop(self) -> None:
-        """Stop all."""
+        """Stop all background work."""
         if self.task is not None:
             self.task.cancel()
         await self.compactor.stop()
