--- a/camphortray/callrequest.py
+++ b/camphortray/callrequest.py
@@ -1,4 +1,4 @@
-"""A non-idempotent call as it is claimed, and why it may be refused."""
+"""The request of a non-idempotent call, and the refusals of calls."""
 
 __all__ = ["CallRequest", "no_answer", "other_request", "unconfirmed"]
 
@@ -14,11 +14,11 @@
     """A non-idempotent call.
 
     Attributes:
-      workspace: Whose it is.
-      service: Which service it is for.
+      workspace: The caller's workspace.
+      service: Name of the service that is called.
       key: The caller's idempotency key.
-      digest: Of method, target and body.
-      keep_s: How long claim and answer are kept.
+      digest: Hash of method, target and body.
+      keep_s: Seconds for which claim and answer are stored.
     """
 
     workspace: str
@@ -36,7 +36,7 @@
         keep_s: float,
         *content: bytes,
     ) -> "CallRequest":
-        """Build from what makes up the request."""
+        """Build a request; ``content`` is what its digest covers."""
         hasher = xxhash.xxh3_128()
         for part in content:
             hasher.update(len(part).to_bytes(8, "big"))
@@ -45,12 +45,12 @@
 
     @property
     def name(self) -> str:
-        """Key in the fold."""
+        """Key of the call in the log ``calls.N``."""
         return f"{self.workspace}/{self.service}/{self.key}"
 
 
 def other_request() -> errors.Refused:
-    """Return the refusal of another request under a key in use."""
+    """Return the refusal of a request whose key another one has used."""
     return errors.Refused(
         409,
         "other_request",
@@ -60,7 +60,7 @@
 
 
 def no_answer(reason: str) -> errors.Refused:
-    """Return the refusal of a call claimed before whose end is open."""
+    """Return the refusal of a retry whose call has no known answer."""
     return errors.Refused(
         409,
         "call_unknown",
@@ -72,7 +72,7 @@
 
 
 def unconfirmed(reason: str) -> errors.Refused:
-    """Return the refusal of a call whose claim did not stand."""
+    """Return the refusal of a call whose claim was not confirmed."""
     return errors.Refused(
         503,
         "claim_unconfirmed",
