--- a/camphortray/completing.py
+++ b/camphortray/completing.py
@@ -1,4 +1,4 @@
-"""A completion on its way: who runs it, and what follows on a failure."""
+"""Runs a completion: chooses its upstreams, retries and resumes it."""
 
 __all__ = ["CompletionExchange"]
 
@@ -21,27 +21,33 @@
 from camphortray import web
 
 LOG = logs.logger("relay")
-# Upstreams tried for one request before it is refused.
+# Failed attempts after which a request is refused, counted separately for
+# those that may have run and those that did not.
 MAX_TRIES = 4
-# Pause before a suspect asks again for leave to run, in seconds.
-APART_PAUSE_S = 0.1
-# Silence allowed before an answer begins: at least this long, and so many
-# times what is expected.
+# Pause before a suspect request asks again for an isolation permit, in
+# seconds.
+ISOLATION_PAUSE_S = 0.1
+# Shortest limit on the silence before an answer's header, in seconds.
 MIN_FIRST_S = 2.0
+# Ratio of that limit to the expected wait.
 FIRST_TIMES = 6
-# The head of an answer shows that its connection is alive; after it, this
-# many times as long may pass.
-HEAD_TIMES = 4
-# Tokens reckoned with for a whole answer that names no limit.
-GUESSED_TOKENS = 1024
+# Ratio of the limit on the silence between an answer's header and its first
+# bytes to the limit before the header. A header shows that the connection
+# is alive, so more time is allowed after it.
+HEAD_FACTOR = 4
+# Assumed length of an unstreamed answer if the request sets no limit.
+DEFAULT_ANSWER_TOKENS = 1024
 
 
 class CompletionExchange(proxy_exchange.Exchange):
-    """One completion until its answer has ended.
+    """One completion request, until its answer has ended.
 
     Attributes:
-      sent: What of a streamed answer the caller has.
-      position: From where the next try goes on, if not from the start.
+      sent: The part of a streamed answer that was sent to the caller.
+      position: Where the next attempt resumes the answer; None if it
+        starts from the beginning.
+      first_s: Limit on the silence before the header of the current
+        attempt's answer, in seconds.
     """
 
     def __init__(
@@ -71,19 +77,19 @@
 
     @functools.cached_property
     def text(self) -> str:
-        """The prompt as one text."""
+        """The prompt as one string."""
         return self.completion.text
 
     @functools.cached_property
     def fingerprint(self) -> str:
-        """What identifies the request, sent again or not."""
+        """Fingerprint of the request, the same if a caller repeats it."""
         return poison.fingerprint(self.completion.model, self.text)
 
     def left_s(self) -> float:
-        """Return the seconds left."""
+        """Return the seconds left until the deadline, at least 1 ms."""
         return max(0.001, self.deadline_at - self.parts.clock.monotonic())
 
-    # Where it is tried.
+    # Choice of the upstream.
 
     async def next_try(self) -> routedtry.RoutedTry:
         while True:
@@ -102,14 +108,14 @@
             if wait_s > 0:
                 await asyncio.sleep(wait_s)
                 continue
-            held = await self.try_apart()
-            if held is not None:
-                return held
+            isolated = await self.try_isolated()
+            if isolated is not None:
+                return isolated
 
     def try_at(
         self, upstream: engine.Upstream, suspected: bool = False
     ) -> routedtry.RoutedTry:
-        """Return a try at an upstream."""
+        """Return an attempt at an upstream."""
         return routedtry.RoutedTry(
             self.parts,
             self.service,
@@ -120,56 +126,63 @@
         )
 
     def try_name(self) -> str:
-        """Return the name of the next try."""
+        """Return the id of the next attempt."""
         return f"{self.name}.{self.tries + 1}"
 
     def verdict(self) -> poison.Verdict:
-        """Return how the request may run now."""
+        """Return whether the request may run now, and whether isolated."""
         if self.parts.suspects.no_suspects:
             return poison.FREE
         return self.parts.suspects.verdict(self.service, self.fingerprint)
 
-    async def try_apart(self) -> routedtry.RoutedTry | None:
-        """Return a try where no other suspect runs, if there is a place."""
-        held, name = self.parts.suspects, self.try_name()
-        async with held.turn:
+    async def try_isolated(self) -> routedtry.RoutedTry | None:
+        """Return an attempt that is isolated from other suspects.
+
+        Returns:
+          The attempt, or None if it got no permit or no longer needs one.
+        """
+        suspects, name = self.parts.suspects, self.try_name()
+        async with suspects.turn:
             if self.verdict().standing is not poison.Standing.ISOLATED:
                 return None
-            upstream = await held.acquire(self.service, name, self.left_s())
+            upstream = await suspects.acquire(
+                self.service, name, self.left_s()
+            )
             if upstream is None:
-                await asyncio.sleep(APART_PAUSE_S)
+                await asyncio.sleep(ISOLATION_PAUSE_S)
                 return None
         if self.verdict().standing is not poison.Standing.ISOLATED:
-            # While the permit was on its way the request may have been
-            # proved guilty, or innocent by another's guilt.
-            held.release(upstream.name, name)
+            # The verdict changed while the permit was awaited: the request
+            # was quarantined, or cleared when another was found to be the
+            # cause of the crash.
+            suspects.release(upstream.name, name)
             return None
         return self.try_at(upstream, suspected=True)
 
     def choose(self) -> engine.Upstream:
-        """Return the upstream to try next.
+        """Return the upstream of the next attempt.
 
         Raises:
-          Refused: there is none.
+          Refused: no upstream is available.
         """
         found = self.parts.upstreams.candidates(self.service, self.tried)
         if not found and self.tried:
-            # Only upstreams tried before are left: a new connection to
-            # one of them is better than a refusal.
+            # All available upstreams have been tried. Trying one again on a
+            # new connection is better than refusing the request.
             found = self.parts.upstreams.candidates(self.service, frozenset())
         if not found:
             raise self.refusal(503, "no_upstream", "no upstream is left", 1)
         key = prefix.prefix_of(self.completion.model, self.text)
         return self.parts.router.choose(found, key)
 
-    # What is sent, and passed on.
+    # Requests to and answers from the upstream.
 
     def request_for(self, held: proxy_exchange.Try) -> engine.EngineRequest:
         if not self.ran:
-            # Its key may have been revoked while it waited.
+            # The caller's key may have been revoked while it was queued.
             self.call.check()
         position = self.position
-        self.first_s = self.expected_first_s(held.upstream)
+        self.first_s = self.first_silence_s(held.upstream)
         return engine.EngineRequest(
             self.try_name(),
             self.call.request.path,
@@ -181,12 +194,12 @@
             silence_s=self.first_s,
         )
 
-    def expected_first_s(self, upstream: engine.Upstream) -> float:
-        """Return how long an answer may take to begin."""
+    def first_silence_s(self, upstream: engine.Upstream) -> float:
+        """Return the limit on the silence before an answer's header."""
         now = self.parts.clock.monotonic()
         wait_s = self.parts.upstreams.loads.wait_s(upstream, now)
         if not self.takes_events:
-            tokens = self.completion.limit_tokens or GUESSED_TOKENS
+            tokens = self.completion.limit_tokens or DEFAULT_ANSWER_TOKENS
             wait_s += tokens * float(self.service.get("objective.itl_s"))
         return max(MIN_FIRST_S, FIRST_TIMES * wait_s)
 
@@ -194,7 +207,7 @@
         return (("content-type", proxy_exchange.EVENTS),)
 
     def first_limit_s(self) -> float:
-        return HEAD_TIMES * self.first_s
+        return HEAD_FACTOR * self.first_s
 
     def silence_limit_s(self) -> float:
         return float(self.service.get("limit.silence_s"))
@@ -203,16 +216,16 @@
         self, stream: engine.EngineStream, held: proxy_exchange.Try
     ) -> None:
         body = await engine.read_all(stream, self.first_limit_s())
-        check_whole(body, held.upstream)
+        check_complete(body, held.upstream)
         headers = [("content-type", stream.content_type)]
         self.response.send(stream.status, body, headers)
 
-    # What follows on a failure.
+    # Retry and resumption.
 
     def go_on(
         self, held: proxy_exchange.Try, error: errors.UpstreamError
     ) -> bool:
-        LOG.warning("Try {} failed: {}", self.tries, error)
+        LOG.warning("Attempt {} failed: {}", self.tries, error)
         self.parts.metrics.inc(
             "online_tries_failed_total",
             "Tries of online requests that failed.",
@@ -229,13 +242,13 @@
         if position.finished and (
             position.usage or not self.completion.wants_usage
         ):
-            # Only the closing event was lost, and that holds nothing.
+            # Only the closing event is missing, and it carries no data.
             self.response.write(resume.DONE)
             self.response.end()
             return False
         if not position.resumable or (self.completion.n or 1) > 1:
             raise self.refusal_of(error) from error
-        LOG.notice("Resumes after {} tokens.", position.tokens)
+        LOG.notice("Resuming the stream after {} tokens.", position.tokens)
         self.parts.metrics.inc(
             "online_resumed_total",
             "Streams gone on with at another engine.",
@@ -244,7 +257,7 @@
         return True
 
     def may_retry(self, error: errors.UpstreamError) -> bool:
-        """Return whether another try is right, and count it if so."""
+        """Return whether to retry; if so, charge the retry budget."""
         rule = retry.RetryRule(
             self.idempotent, MAX_TRIES, MAX_TRIES, engine.FINAL_STATUSES
         )
@@ -254,7 +267,7 @@
         return self.parts.upstreams.budget(self.service).allow(now)
 
     def refusal_of(self, error: errors.UpstreamError) -> errors.Refused:
-        """Return the refusal of a request whose upstream failed."""
+        """Return the refusal that reports an upstream's error."""
         if isinstance(error, errors.UpstreamRefused):
             if error.status in engine.FINAL_STATUSES:
                 return self.refusal(
@@ -272,31 +285,32 @@
         message: str,
         retry_after: float | None = None,
     ) -> errors.Refused:
-        """Return a refusal that says whether it may have run."""
+        """Return a refusal that says whether the request may have run."""
         ran = "unknown" if self.ran else "no"
         return errors.Refused(
             status, code, message, ran=ran, retry_after=retry_after
         )
 
 
-class AnyObject(msgspec.Struct):
-    """A JSON object whose fields are not looked at."""
+class UndecodedObject(msgspec.Struct):
+    """A JSON object whose fields are not decoded."""
 
 
-WHOLE = msgspec.json.Decoder(AnyObject)
+OBJECT_DECODER = msgspec.json.Decoder(UndecodedObject)
 
 
-def check_whole(body: bytes, upstream: engine.Upstream) -> None:
-    """Make sure that an answer was not cut off.
+def check_complete(body: bytes, upstream: engine.Upstream) -> None:
+    """Check that an answer was not truncated.
 
-    An answer without a length ends with its connection, so that a crash
-    looks like its end; half a JSON object then reached the caller as 200.
+    An answer without a content length ends when its connection closes, so
+    a crash looks like its end. Without this check a truncated JSON object
+    was passed to the caller with status 200.
 
     Raises:
-      UpstreamBroken: it is not a whole JSON object.
+      UpstreamBroken: the body is not a complete JSON object.
     """
     try:
-        WHOLE.decode(body)
+        OBJECT_DECODER.decode(body)
     except (msgspec.DecodeError, UnicodeDecodeError) as error:
         raise errors.UpstreamBroken(
             f"the answer is not whole: {error}",
