--- a/camphortray/completion.py
+++ b/camphortray/completion.py
@@ -1,4 +1,4 @@
-"""A completion as a caller asks for it, checked field by field."""
+"""Decodes and validates the request body of a completion."""
 
 __all__ = ["Completion", "Message", "parse"]
 
@@ -11,67 +11,68 @@
 from camphortray import errors
 
 CHAT_PATH = "/v1/chat/completions"
-# Where msgspec names the place of a fault, e.g. "... - at `$.n`".
-PLACE = re.compile(r"(?P<what>.*) - at `\$\.?(?P<field>.*)`$", re.DOTALL)
-MISSING = re.compile(r"Object missing required field `(?P<field>\w+)`")
+# Matches the path of the invalid field in a msgspec error message, such as
+# "... - at `$.n`".
+FIELD_PATH = re.compile(r"(?P<what>.*) - at `\$\.?(?P<field>.*)`$", re.DOTALL)
+MISSING_FIELD = re.compile(r"Object missing required field `(?P<field>\w+)`")
 
-Positive = Annotated[int, msgspec.Meta(ge=1)]
-Choices = Annotated[int, msgspec.Meta(ge=1, le=128)]
-Number = Annotated[float, msgspec.Meta(ge=-1e6, le=1e6)]
-Text = Annotated[str, msgspec.Meta(min_length=1)]
+PositiveInt = Annotated[int, msgspec.Meta(ge=1)]
+ChoiceCount = Annotated[int, msgspec.Meta(ge=1, le=128)]
+BoundedFloat = Annotated[float, msgspec.Meta(ge=-1e6, le=1e6)]
+NonEmptyText = Annotated[str, msgspec.Meta(min_length=1)]
 
 
 class Message(msgspec.Struct):
     """One message of a chat."""
 
-    role: Text
+    role: NonEmptyText
     content: str | list[dict[str, Any]] | None = None
 
 
 class StreamOptions(msgspec.Struct):
-    """What a caller wants in a stream beside the text."""
+    """Options of a streamed answer."""
 
     include_usage: bool | None = None
 
 
 class Completion(msgspec.Struct):
-    """The fields that are checked here; all others go to the engine.
+    """The validated fields of a request; engines get all others as sent.
 
     Attributes:
-      model: Which model.
-      messages: The chat, for the chat path.
-      prompt: Text or tokens, for the plain path.
-      stream: Whether the answer comes as events.
-      max_tokens: Longest answer.
-      n: How many answers.
+      model: Name of the model.
+      messages: The chat; required on the chat path.
+      prompt: Text or tokens; required on the completions path.
+      stream: Whether the answer is streamed as events.
+      max_tokens: Maximum length of the answer in tokens.
+      n: Number of answers.
     """
 
-    model: Text
+    model: NonEmptyText
     messages: list[Message] | None = None
     prompt: str | list[str | int | list[int]] | None = None
     stream: bool | None = None
-    max_tokens: Positive | None = None
-    max_completion_tokens: Positive | None = None
-    n: Choices | None = None
-    temperature: Number | None = None
-    top_p: Number | None = None
+    max_tokens: PositiveInt | None = None
+    max_completion_tokens: PositiveInt | None = None
+    n: ChoiceCount | None = None
+    temperature: BoundedFloat | None = None
+    top_p: BoundedFloat | None = None
     stop: str | list[str] | None = None
     stream_options: StreamOptions | None = None
 
     @property
     def limit_tokens(self) -> int:
-        """Longest answer in tokens, or 0 where none is given."""
+        """Maximum length of the answer in tokens, 0 if not set."""
         return self.max_tokens or self.max_completion_tokens or 0
 
     @property
     def wants_usage(self) -> bool:
-        """Whether an event with usage has to come before the end."""
+        """Whether the stream must include an event with token usage."""
         options = self.stream_options
         return options is not None and bool(options.include_usage)
 
     @property
     def text(self) -> str:
-        """The prompt as one text, for fingerprints and prefixes."""
+        """The prompt as one string, for fingerprints and prefixes."""
         if self.messages is None:
             prompt = self.prompt
             return prompt if isinstance(prompt, str) else repr(prompt)
@@ -87,42 +88,42 @@
 
 
 def parse(path: str, body: bytes) -> Completion:
-    """Read and check a request body.
+    """Decode and validate a request body.
 
     Raises:
-      Refused: it is not JSON, or a field is wrong.
+      Refused: the body is not JSON, or a field is invalid.
     """
     try:
-        found = DECODER.decode(body)
+        completion = DECODER.decode(body)
     except msgspec.ValidationError as error:
-        raise wrong_field(str(error)) from error
+        raise invalid_field(str(error)) from error
     except (msgspec.DecodeError, UnicodeDecodeError, RecursionError) as error:
         raise errors.Refused(
             400, "bad_json", f"body is not JSON: {error}", field="(body)"
         ) from error
-    if path == CHAT_PATH and not found.messages:
+    if path == CHAT_PATH and not completion.messages:
         raise errors.Refused(
             400, "bad_field", "messages must be a list", field="messages"
         )
-    if path != CHAT_PATH and not found.prompt:
+    if path != CHAT_PATH and not completion.prompt:
         raise errors.Refused(
             400, "bad_field", "prompt must be a text or list", field="prompt"
         )
-    return found
+    return completion
 
 
-def wrong_field(told: str) -> errors.Refused:
-    """Return the refusal of a field at fault.
+def invalid_field(message: str) -> errors.Refused:
+    """Return the refusal for a validation error of msgspec.
 
-    >>> wrong_field("Expected `bool`, got `int` - at `$.stream`").field
+    >>> invalid_field("Expected `bool`, got `int` - at `$.stream`").field
     'stream'
     """
-    missing = MISSING.search(told)
-    place = PLACE.match(told)
-    field = place["field"] if place else ""
+    missing = MISSING_FIELD.search(message)
+    path = FIELD_PATH.match(message)
+    field = path["field"] if path else ""
     if missing:
         field = f"{field}.{missing['field']}".strip(".")
-    what = place["what"] if place else told
+    what = path["what"] if path else message
     return errors.Refused(
         400,
         "bad_field",
