--- a/camphortray/relay.py
+++ b/camphortray/relay.py
@@ -1,4 +1,4 @@
-"""Answers online requests: checks them and sends them on their way."""
+"""Serves the OpenAI-compatible endpoints for online requests."""
 
 __all__ = ["Relay"]
 
@@ -31,15 +31,16 @@
 LOG = logs.logger("relay")
 IDEMPOTENT = "camphortray-idempotent"
 IDEMPOTENCY_KEY = "idempotency-key"
-# Statuses of refusals for a request's own fault; they burn no budget.
-OWN_FAULT = frozenset({400, 401, 404, 413, 422})
-# Longest part of a caller's request id that is passed to engines.
-ID_CHARS = 96
+# Statuses caused by the request itself; not counted against the service's
+# objectives.
+CALLER_FAULTS = frozenset({400, 401, 404, 413, 422})
+# Maximum length of the part of a caller's request id that engines get.
+MAX_ID_CHARS = 96
 
 
 @kernel.PARTS.register("entry")
 class Relay(kernel.Part):
-    """The online path."""
+    """Validates completion requests and runs them at the engines."""
 
     name: ClassVar[str] = "relay"
     requires: ClassVar[tuple[str, ...]] = (
@@ -66,8 +67,8 @@
             routing.Router(context.rng, zone),
             context.metrics,
         )
-        self.keeper = context.part(at_most_once.AtMostOnce)
-        self.count = 0
+        self.at_most_once = context.part(at_most_once.AtMostOnce)
+        self.request_count = 0
         routes = context.part(web.Routes)
         access = web.Access.WORKSPACE
         for path in ("/v1/chat/completions", "/v1/completions"):
@@ -79,7 +80,7 @@
         return cls(context)
 
     async def models(self, call: web.Call) -> None:
-        """List the models."""
+        """Send the list of models."""
         names = sorted(self.tree.view.by_model)
         data = [
             {"id": name, "object": "model", "created": 0, "owned_by": ""}
@@ -88,7 +89,7 @@
         call.response.send_json(200, {"object": "list", "data": data})
 
     async def complete(self, call: web.Call) -> None:
-        """Answer a completion."""
+        """Serve a completion request."""
         headers = call.request.headers
         body = await call.request.body()
         completion = completions.parse(call.request.path, body)
@@ -104,7 +105,7 @@
             service,
             completion,
             body,
-            name=self.try_name(call.request),
+            name=self.request_name(call.request),
             deadline_at=deadline_at,
             idempotent=idempotent,
         )
@@ -114,16 +115,16 @@
             self.parts.signals.answered(service.name, False, True)
         except TimeoutError as error:
             ran = "unknown" if exchange.ran else "no"
-            self.end(exchange, deadline.passed(ran), error)
+            self.fail(exchange, deadline.passed(ran), error)
         except errors.Refused as refusal:
-            self.end(exchange, refusal, refusal.__cause__)
+            self.fail(exchange, refusal, refusal.__cause__)
 
     async def run(self, exchange: completing.CompletionExchange) -> None:
-        """Run an exchange, at most once if it is so marked and has a key."""
+        """Run an exchange; at most once if non-idempotent and with a key."""
         call = exchange.call
         key = call.request.headers.get(IDEMPOTENCY_KEY, "")
         if exchange.idempotent or not key:
-            await self.admit(exchange)
+            await self.run_admitted(exchange)
             return
         service = exchange.service
         recorder = replay_buffer.Recorder(call.response)
@@ -139,19 +140,21 @@
 
         async def send() -> calls.Answer:
             try:
-                await self.admit(exchange)
+                await self.run_admitted(exchange)
             except asyncio.CancelledError:
                 if exchange.ran:
                     raise
                 raise deadline.passed("no") from None
             return recorder.answer()
 
-        answer = await self.keeper.run_for_caller(request, send)
+        answer = await self.at_most_once.run_for_caller(request, send)
         if not call.response.status:
             call.response.send(answer.status, answer.body, answer.headers)
 
-    async def admit(self, exchange: completing.CompletionExchange) -> None:
-        """Run an exchange once there is room for it."""
+    async def run_admitted(
+        self, exchange: completing.CompletionExchange
+    ) -> None:
+        """Run an exchange once it is admitted."""
         ticket = await self.admission.enter(
             exchange.service, exchange.call.caller, exchange.deadline_at
         )
@@ -160,18 +163,18 @@
         finally:
             self.admission.leave(ticket)
 
-    def end(
+    def fail(
         self,
         exchange: completing.CompletionExchange,
         refusal: errors.Refused,
         cause: BaseException | None,
     ) -> None:
-        """Refuse, or end an answer under way as an error.
+        """Refuse a request, or cut off an answer that has been started.
 
         Raises:
-          Refused: no answer had begun.
+          Refused: the answer has not been started.
         """
-        if refusal.status not in OWN_FAULT:
+        if refusal.status not in CALLER_FAULTS:
             name = exchange.service.name
             self.parts.signals.answered(name, False, False)
         self.context.metrics.inc(
@@ -181,7 +184,7 @@
         )
         if not exchange.response.status:
             raise refusal from cause
-        LOG.warning("Answer cut off: {}", refusal)
+        LOG.warning("Started answer cut off: {}", refusal)
         exchange.response.cut(refusal)
 
     def service_of(self, model: str) -> settings.Service:
@@ -193,22 +196,22 @@
             )
         return service
 
-    def try_name(self, request: httpserver.Request) -> str:
-        """Return a name for a request that no other request has.
+    def request_name(self, request: httpserver.Request) -> str:
+        """Return a unique name for a request.
 
-        Callers may choose the same id twice, and a cancel at an engine
-        must hit the right one.
+        Callers may use the same request id twice, and a cancellation at an
+        engine must affect only one of them.
         """
-        self.count += 1
+        self.request_count += 1
         start = self.context.incarnation & 0xFFFFFF
-        return f"{request.id[:ID_CHARS]}.{start:x}-{self.count:x}"
+        return f"{request.id[:MAX_ID_CHARS]}.{start:x}-{self.request_count:x}"
 
 
 def is_idempotent(text: str) -> bool:
-    """Return what a caller says of its request.
+    """Parse the header that marks a request as idempotent or not.
 
     Raises:
-      Refused: neither true nor false.
+      Refused: the value is neither true nor false.
     """
     if text.lower() not in ("true", "false"):
         raise errors.Refused(
