--- a/camphortray/resume.py
+++ b/camphortray/resume.py
@@ -1,4 +1,4 @@
-"""What of a streamed answer has reached the caller, to go on from there."""
+"""Tracks how much of a streamed answer was sent, so it can be resumed."""
 
 __all__ = ["Position", "SentStream"]
 
@@ -13,15 +13,17 @@
 EVENT_END = b"\n\n"
 DONE = b"data: [DONE]\n\n"
 DATA = b"data: "
-# A JSON text inside an event has its quotes escaped, so these bytes stand
-# only where an engine reports an error as an event of the stream.
-ERROR_MARK = b'"error"'
-# Raw bytes kept before they are read into text and count; bounds memory.
-MAX_RAW = 65_536
+# Quotes inside a JSON string are escaped, so the text of an answer never
+# contains these bytes; they occur where an engine reports an error as an
+# event of the stream.
+ERROR_FIELD = b'"error"'
+# Size in bytes of undecoded events above which they are decoded into text
+# and token count; bounds memory.
+MAX_RAW_BYTES = 65_536
 
 
 class Delta(msgspec.Struct):
-    """A piece of a chat message."""
+    """The text that an event adds to a chat message."""
 
     content: str | None = None
     tool_calls: Any = None
@@ -38,20 +40,20 @@
 
     @property
     def content(self) -> str:
-        """Return the text that it adds."""
+        """The text that the event adds to the answer."""
         if self.delta is not None:
             return self.delta.content or ""
         return self.text or ""
 
 
 class Usage(msgspec.Struct):
-    """Counts of tokens so far."""
+    """Token counts of the answer so far."""
 
     completion_tokens: int = 0
 
 
 class Event(msgspec.Struct):
-    """One event, as far as it matters here."""
+    """The fields of an event that are needed to resume a stream."""
 
     id: Any = None
     created: Any = None
@@ -60,19 +62,19 @@
     error: Any = None
 
 
-EVENT = msgspec.json.Decoder(Event)
+EVENT_DECODER = msgspec.json.Decoder(Event)
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Position:
-    """How far the caller has got.
+    """How much of an answer was sent to the caller.
 
     Attributes:
       text: Text sent.
-      tokens: Tokens sent.
-      finished: Whether the reason for the end was sent.
-      usage: Whether counts were sent.
-      resumable: Whether another engine can go on from text alone.
+      tokens: Number of tokens sent.
+      finished: Whether a finish reason was sent.
+      usage: Whether token usage was sent.
+      resumable: Whether another engine can continue from the text alone.
     """
 
     text: str
@@ -83,15 +85,22 @@
 
 
 class SentStream(eventstream.Framing):
-    """Passes on whole events and keeps what a resumption needs.
+    """Forwards complete events and records what a resumption needs.
 
-    Events are kept as raw bytes and read only when the answer breaks, or
-    when many have gathered: reading each would cost more than passing it.
+    Events are stored undecoded and decoded only when the stream breaks, or
+    when more than ``MAX_RAW_BYTES`` are stored: decoding each would cost
+    more than forwarding it.
 
     Attributes:
-      done: Whether the closing event came; an engine's error in the
-        stream is a break.
-      started: Whether any event was passed on.
+      tail: Bytes of an incomplete event, not yet forwarded.
+      raw: Forwarded events that are not yet decoded.
+      raw_size: Their size in bytes.
+      texts: Texts of the decoded events.
+      tokens: Tokens of the decoded events.
+      done: Whether the closing event was forwarded.
+      started: Whether any event was forwarded.
+      identity: Id and creation time of the first event.
+      resumed: Whether another engine now continues the answer.
     """
 
     def __init__(self) -> None:
@@ -118,38 +127,42 @@
             data, self.tail = data[:cut], data[cut:]
             if not data:
                 return b""
-        if ERROR_MARK in data:
+        if ERROR_FIELD in data:
             self.check_errors(data)
         if self.resumed:
-            data = self.rewrite(data)
+            data = self.adapt(data)
         if data.endswith(DONE):
             self.done = True
         if data:
             self.started = True
             self.raw.append(data)
             self.raw_size += len(data)
-            if self.raw_size > MAX_RAW:
-                self.read_raw()
+            if self.raw_size > MAX_RAW_BYTES:
+                self.decode_raw()
         return data
 
     def check_errors(self, data: bytes) -> None:
-        """Raise if one of the events is an error."""
-        for event, _ in events_in(data):
+        """Check whether an engine reports an error.
+
+        Raises:
+          UpstreamBroken: one of the events is an error.
+        """
+        for event, _ in decode_events(data):
             if event is not None and event.error is not None:
                 raise errors.UpstreamBroken(
                     "the engine reported an error", ran=True, step="stream"
                 )
 
-    def read_raw(self) -> None:
-        """Read the raw events kept so far."""
-        for event, _ in events_in(b"".join(self.raw)):
+    def decode_raw(self) -> None:
+        """Decode the stored events."""
+        for event, _ in decode_events(b"".join(self.raw)):
             if event is not None:
-                self.count(event)
+                self.add(event)
         self.raw.clear()
         self.raw_size = 0
 
-    def count(self, event: Event) -> None:
-        """Take one event into text and count."""
+    def add(self, event: Event) -> None:
+        """Add an event to the text and the token count."""
         if self.identity is None:
             self.identity = (event.id, event.created)
         for choice in event.choices:
@@ -163,13 +176,13 @@
             if choice.finish_reason:
                 self.finished = True
         if event.usage is not None:
-            # Engines that put several tokens into an event say how many.
+            # An engine that sends several tokens per event reports the count.
             self.usage = True
             self.tokens = event.usage.completion_tokens or self.tokens
 
     def position(self) -> Position:
-        """Return how far the caller has got."""
-        self.read_raw()
+        """Return how much of the answer was sent."""
+        self.decode_raw()
         return Position(
             "".join(self.texts),
             self.tokens,
@@ -187,31 +200,31 @@
         self.resumed = self.started
 
     def resume(self) -> Position:
-        """Make ready for another engine; return how far the caller is."""
+        """Prepare for another engine; return how much was sent."""
         self.restart()
         return self.position()
 
-    def rewrite(self, data: bytes) -> bytes:
-        """Fit events of another engine to those sent before.
+    def adapt(self, data: bytes) -> bytes:
+        """Adapt the events of another engine to those already sent.
 
-        Its id and time differ, it may open with an event without text,
-        and it ends once more what had perhaps been ended.
+        Events get the id and creation time of the first one. An opening
+        event without text and a second finish reason are left out.
         """
-        kept = []
-        for event, raw in events_in(data):
+        adapted = []
+        for event, raw in decode_events(data):
             if event is None:
-                kept.append(raw)
+                adapted.append(raw)
                 continue
             opening = not any(
                 c.content or c.finish_reason for c in event.choices
             )
             if event.choices and (opening or self.finished):
                 continue
-            kept.append(self.with_identity(raw))
-        return b"".join(kept)
+            adapted.append(self.with_identity(raw))
+        return b"".join(adapted)
 
     def with_identity(self, raw: bytes) -> bytes:
-        """Return an event with the id and time of the first one sent."""
+        """Return an event with the id and creation time of the first one."""
         if self.identity is None:
             return raw
         body = msgspec.json.decode(raw[len(DATA) :])
@@ -219,26 +232,26 @@
         return DATA + msgspec.json.encode(body) + EVENT_END
 
 
-def events_in(data: bytes) -> list[tuple[Event | None, bytes]]:
-    """Return the events in whole bytes of a stream, each with its bytes.
+def decode_events(data: bytes) -> list[tuple[Event | None, bytes]]:
+    """Split complete events; return each decoded, with its bytes.
 
-    Comments and the closing event are None.
+    Comments and the closing event are not decoded; None stands for them.
 
     Raises:
-      UpstreamBroken: an event cannot be read.
+      UpstreamBroken: an event cannot be decoded.
     """
-    found: list[tuple[Event | None, bytes]] = []
+    events: list[tuple[Event | None, bytes]] = []
     for part in data.split(EVENT_END):
         if not part:
             continue
         raw = part + EVENT_END
         if not part.startswith(DATA) or raw == DONE:
-            found.append((None, raw))
+            events.append((None, raw))
             continue
         try:
-            found.append((EVENT.decode(part[len(DATA) :]), raw))
+            events.append((EVENT_DECODER.decode(part[len(DATA) :]), raw))
         except msgspec.DecodeError as error:
             raise errors.UpstreamBroken(
                 f"an event cannot be read: {error}", ran=True, step="stream"
             ) from error
-    return found
+    return events
--- a/tests/test_resume.py
+++ b/tests/test_resume.py
@@ -1,4 +1,4 @@
-"""Tests of what is kept of a stream, to go on after a break."""
+"""Tests of the position from which a broken stream is resumed."""
 
 import msgspec
 import pytest
@@ -26,17 +26,16 @@
 
 
 def answer(words, name="cmpl-1", total=TOTAL):
-    """Return all bytes of a stream of these words."""
+    """Return a complete stream with one event for each word."""
     events = [event(word, name=name) for word in words]
     events.append(event(finish="length", usage=total, name=name))
     return b"".join(events) + resume.DONE
 
 
 def test_a_stream_cut_at_any_byte_is_resumed_without_a_seam():
-    # The caller sees one whole answer. The first engine breaks after any
-    # number of bytes, also within an event; the second goes on behind the
-    # tokens that were passed on. Only whole events are passed on, so none
-    # is doubled and none is missing.
+    # The first engine fails after any number of bytes, also within an event,
+    # and the second continues after the tokens that were forwarded. The
+    # caller must get the whole text, with no token lost or repeated.
     whole = answer(WORDS)
     for cut in range(len(whole)):
         sent = resume.SentStream()
@@ -47,13 +46,13 @@
         if sent.done:
             assert cut == len(whole)
             continue
-        place = sent.resume()
-        assert place.text == "".join(WORDS[: place.tokens])
-        assert place.resumable
-        if place.finished:
+        position = sent.resume()
+        assert position.text == "".join(WORDS[: position.tokens])
+        assert position.resumable
+        if position.finished:
             got += resume.DONE
         else:
-            got += sent.feed(answer(WORDS[place.tokens :], "cmpl-2"))
+            got += sent.feed(answer(WORDS[position.tokens :], "cmpl-2"))
             assert sent.done
         assert online.text_of(got) == "".join(WORDS)
 
@@ -75,8 +74,8 @@
     sent = resume.SentStream()
     for data in events:
         assert sent.feed(data) == data
-    place = sent.resume()
-    assert (place.tokens, place.resumable) == (tokens, resumable)
+    position = sent.resume()
+    assert (position.tokens, position.resumable) == (tokens, resumable)
 
 
 def test_an_engines_opening_and_second_end_are_not_passed_on_twice():
