--- a/camphortray/openai_format.py
+++ b/camphortray/openai_format.py
@@ -1,4 +1,4 @@
-"""Shapes jobs, files and results as OpenAI's batch interface has them."""
+"""Represents jobs, files and results as in OpenAI's batch API."""
 
 __all__ = [
     "batch_object",
@@ -28,16 +28,16 @@
 
 
 def window_s(text: Any) -> float:
-    """Return the seconds of a completion window.
+    """Parse a completion window into seconds.
 
     >>> window_s("24h")
     86400.0
 
     Raises:
-      Refused: it is none.
+      Refused: the value is not a completion window.
     """
-    shown = text if isinstance(text, str) else ""
-    number, unit = shown[:-1], UNITS_S.get(shown[-1:])
+    window = text if isinstance(text, str) else ""
+    number, unit = window[:-1], UNITS_S.get(window[-1:])
     if unit is None or not number.isdigit() or not 0 < int(number) < 10_000:
         raise errors.Refused(
             400,
@@ -49,7 +49,7 @@
 
 
 def file_object(accept: jobs.FileAccept) -> dict[str, Any]:
-    """Return what a caller is told of an input file."""
+    """Return the file object of an input file."""
     return {
         "id": FILE + accept.file,
         "object": "file",
@@ -63,7 +63,7 @@
 
 
 def result_file_object(job: jobs.Job, prefix: str) -> dict[str, Any]:
-    """Return what a caller is told of a file of results."""
+    """Return the file object of a job's output or error file."""
     return {
         "id": prefix + job.accept.job,
         "object": "file",
@@ -76,13 +76,13 @@
 
 
 def batch_object(job: jobs.Job) -> dict[str, Any]:
-    """Return what a caller is told of a batch."""
+    """Return the batch object of a job."""
     accept = job.accept
     status = job.status
     ended = status is not jobs.JobStatus.RUNNING
     ended_at = int(job.ended_at)
     failed = job.failed + job.unknown
-    finished = status is jobs.JobStatus.FINISHED
+    completed = status is jobs.JobStatus.FINISHED
     cancelled = status is jobs.JobStatus.CANCELLED
     return {
         "id": BATCH + accept.job,
@@ -97,7 +97,7 @@
         "created_at": int(accept.taken_at),
         "in_progress_at": int(accept.taken_at),
         "expires_at": int(accept.due),
-        "completed_at": ended_at if finished else None,
+        "completed_at": ended_at if completed else None,
         "cancelled_at": ended_at if cancelled else None,
         "request_counts": {
             "total": accept.count,
@@ -109,7 +109,7 @@
 
 
 def output_line(result: jobs.ItemResult) -> bytes:
-    """Return the line of an item that is done."""
+    """Return the line of the output file for a successful item."""
     return msgspec.json.encode(
         {
             "id": request_id(result),
@@ -125,7 +125,7 @@
 
 
 def error_line(result: jobs.ItemResult) -> bytes:
-    """Return the line of an item that has no answer."""
+    """Return the line of the error file for an item without an answer."""
     body = msgspec.json.decode(result.body)
     return msgspec.json.encode(
         {
@@ -141,5 +141,5 @@
 
 
 def request_id(result: jobs.ItemResult) -> str:
-    """Return the id of an item's request."""
+    """Return the request id of an item."""
     return f"batch_req_{result.job}-{result.item}"
