--- a/camphortray/completing.py
+++ b/camphortray/completing.py
@@ -21,8 +21,7 @@
 from camphortray import web
 
 LOG = logs.logger("relay")
-# Failed attempts after which a request is refused, counted separately for
-# those that may have run and those that did not.
+# Maximum number of attempts of one request, whether or not they ran.
 MAX_TRIES = 4
 # Pause before a suspect request asks again for an isolation permit, in
 # seconds.
