--- a/tests/test_at_most_once.py
+++ b/tests/test_at_most_once.py
@@ -172,7 +172,7 @@
         ("", "look", (("camphortray-idempotent", "x"),), 400),
     ],
 )
-async def test_route_and_caller_say_what_may_not_repeat(
+async def test_route_and_caller_mark_non_idempotent_calls(
     fleet, key, path, headers, status
 ):
     got, ran, _ = await fleet.call(key=key, path=path, headers=headers)
@@ -301,9 +301,7 @@
     assert fleet.runs == {"k": 1}
 
 
-async def test_claims_go_by_the_first_host_and_directly_without_it(
-    fleet, monkeypatch
-):
+async def test_claims_are_forwarded_or_appended_directly(fleet, monkeypatch):
     # Hosts forward claims to the host that batches a stream's appends. When
     # that host is down but still listed, they append by themselves under
     # the same record id. The shortened CLAIM_S of the other tests is too
@@ -381,7 +379,7 @@
         ("dispatch", "drain", (200, ""), 1),
     ],
 )
-async def test_only_what_may_repeat_is_tried_again(
+async def test_only_idempotent_calls_are_retried(
     fleet, path, fault, expected, runs
 ):
     second = standin_service.ServiceStandin(clusters.PLAIN)
