--- a/camphortray/completing.py
+++ b/camphortray/completing.py
@@ -29,7 +29,7 @@
 # Shortest limit on the silence before an answer's header, in seconds.
 MIN_FIRST_S = 2.0
 # Ratio of that limit to the expected wait.
-FIRST_TIMES = 6
+FIRST_FACTOR = 6
 # Ratio of the limit on the silence between an answer's header and its first
 # bytes to the limit before the header. A header shows that the connection
 # is alive, so more time is allowed after it.
@@ -200,7 +200,7 @@
         if not self.takes_events:
             tokens = self.completion.limit_tokens or DEFAULT_ANSWER_TOKENS
             wait_s += tokens * float(self.service.get("objective.itl_s"))
-        return max(MIN_FIRST_S, FIRST_TIMES * wait_s)
+        return max(MIN_FIRST_S, FIRST_FACTOR * wait_s)
 
     def head_of(self, stream: engine.EngineStream) -> proxy_exchange.Headers:
         return (("content-type", proxy_exchange.EVENTS),)
--- a/tests/test_refusals.py
+++ b/tests/test_refusals.py
@@ -167,7 +167,7 @@
 
 def engines_stay_silent(cluster, patch):
     patch.setattr(completing, "MIN_FIRST_S", 0.05)
-    patch.setattr(completing, "FIRST_TIMES", 0)
+    patch.setattr(completing, "FIRST_FACTOR", 0)
     engines_do("open_delay_s", 1.0)(cluster, patch)
 
 
