--- a/camphortray/services.py
+++ b/camphortray/services.py
@@ -56,7 +56,7 @@
         self.backends = context.part(backends.Backends)
         self.upstreams = context.part(upstreams.Upstreams)
         self.admission = context.part(admission.Admission)
-        self.keeper = context.part(at_most_once.AtMostOnce)
+        self.at_most_once = context.part(at_most_once.AtMostOnce)
         self.budgets: dict[str, retry.RetryBudget] = {}
         zone = context.config.host.availability_zone
         self.router = routing.Router(context.rng, zone)
@@ -141,7 +141,7 @@
             target.encode(),
             body,
         )
-        return await self.keeper.run(request, send)
+        return await self.at_most_once.run(request, send)
 
     async def send(
         self,
