--- a/camphortray/at_most_once.py
+++ b/camphortray/at_most_once.py
@@ -42,7 +42,7 @@
 SYNC_S = 1.0
 # Longest that a retry waits for the answer of a call that another host
 # reports as running, in seconds.
-RESEND_S = 5.0
+RETRY_WAIT_S = 5.0
 # Pause before a failed access to the log is repeated, in seconds.
 PAUSE_S = 1.0
 # Time limit for resolving an uncertain append to the log, in seconds.
@@ -224,7 +224,7 @@
         if earlier is None:
             earlier = await self.claim(shard, request)
         if earlier is not None:
-            return await self.resend(shard, request, earlier)
+            return await self.answer_retry(shard, request, earlier)
         return await self.dispatch(shard, request, send)
 
     def shard_of(
@@ -256,10 +256,10 @@
             raise callrequest.unconfirmed(str(error)) from error
         except errors.LogError as error:
             # The claim may still be appended later; release it then.
-            self.release(shard, request.name)
+            self.begin_release(shard, request.name)
             raise callrequest.unconfirmed(str(error)) from error
         except asyncio.CancelledError:
-            self.release(shard, request.name)
+            self.begin_release(shard, request.name)
             raise
         standing = shard.fold.standing(request.name, outcome)
         if standing is calls.Standing.VOID:
@@ -286,7 +286,7 @@
                 await asyncio.sleep(PAUSE_S)
         self.releasing.discard(name)
 
-    async def resend(
+    async def answer_retry(
         self,
         shard: callshard.CallShard,
         request: callrequest.CallRequest,
@@ -318,7 +318,7 @@
         """
         if earlier.writer != self.writer:
             if await self.probes.is_running(earlier.writer, name):
-                return await shard.answer(name, RESEND_S)
+                return await shard.answer(name, RETRY_WAIT_S)
             # The answer may have been stored while the probe was running.
             await shard.sync(SYNC_S)
         call = shard.fold.calls.get(name)
@@ -340,7 +340,7 @@
             answer = await send()
         except errors.UpstreamError as error:
             if not error.ran:
-                self.release(shard, request.name)
+                self.begin_release(shard, request.name)
             raise errors.Refused(
                 502,
                 "upstream_failed",
@@ -350,12 +350,12 @@
             ) from error
         except errors.Refused as refusal:
             if refusal.ran == "no":
-                self.release(shard, request.name)
+                self.begin_release(shard, request.name)
             raise
         self.store(shard, request.name, answer)
         return answer
 
-    def release(self, shard: callshard.CallShard, name: str) -> None:
+    def begin_release(self, shard: callshard.CallShard, name: str) -> None:
         """Release the claim of a call that was not run, in the background.
 
         A retry can then claim the call again.
--- a/tests/test_at_most_once.py
+++ b/tests/test_at_most_once.py
@@ -133,11 +133,11 @@
 async def test_a_resend_is_not_held_back_for_an_answer_nobody_has(fleet):
     # The service ran the call and its answer was lost. The claiming host
     # reports that the call has ended, so a retry to the other host must
-    # be refused without waiting RESEND_S.
+    # be refused without waiting RETRY_WAIT_S.
     fleet.introduce()
     fleet.cluster.plain.faults.set("lose_answers", 1)
     assert (await fleet.call())[:2] == (502, "unknown")
-    async with asyncio.timeout(at_most_once.RESEND_S / 2):
+    async with asyncio.timeout(at_most_once.RETRY_WAIT_S / 2):
         assert (await fleet.call(1))[:2] == (409, "unknown")
     assert fleet.runs == {"k": 1}
 
