--- a/camphortray/at_most_once.py
+++ b/camphortray/at_most_once.py
@@ -261,12 +261,12 @@
         except asyncio.CancelledError:
             self.begin_release(shard, request.name)
             raise
-        standing = shard.fold.standing(request.name, outcome)
-        if standing is calls.Standing.VOID:
+        status = shard.fold.claim_status(request.name, outcome)
+        if status is calls.ClaimStatus.VOID:
             raise callrequest.unconfirmed(
                 outcome.reason or "the claim does not stand"
             )
-        if standing is calls.Standing.OTHER:
+        if status is calls.ClaimStatus.OTHER:
             return shard.fold.calls[request.name]
         return None
 
--- a/camphortray/calls.py
+++ b/camphortray/calls.py
@@ -8,8 +8,8 @@
     "CallClaim",
     "CallForget",
     "CallsFold",
+    "ClaimStatus",
     "Forgotten",
-    "Standing",
 ]
 
 from collections.abc import Callable
@@ -110,7 +110,7 @@
     answer: Answer | None = None
 
 
-class Standing(enum.Enum):
+class ClaimStatus(enum.Enum):
     """The result of a claim.
 
     Attributes:
@@ -185,7 +185,7 @@
             if call is not None and call.offset == expired.offset:
                 del self.calls[expired.key]
 
-    def standing(self, name: str, outcome: folds.Outcome) -> Standing:
+    def claim_status(self, name: str, outcome: folds.Outcome) -> ClaimStatus:
         """Return the result of a claim that was read back.
 
         Args:
@@ -194,12 +194,12 @@
         """
         call = self.calls.get(name)
         if not outcome.valid:
-            return Standing.VOID if call is None else Standing.OTHER
+            return ClaimStatus.VOID if call is None else ClaimStatus.OTHER
         if call is None or call.offset != outcome.offset:
             # The claim was read late, e.g. by a process that was paused
             # until it had expired: another process may have run the call.
-            return Standing.VOID
-        return Standing.MINE
+            return ClaimStatus.VOID
+        return ClaimStatus.MINE
 
     def expired(
         self, now: float, lost: Callable[[records.Writer], bool], limit: int
--- a/spec/calls.py
+++ b/spec/calls.py
@@ -164,8 +164,8 @@
             self.fold, state.log[: host.read], HOSTS[at], host.sequence
         )
         if told is not None:
-            mine = calls.Standing.MINE
-            stands = self.view(state, at).standing(KEY, told) is mine
+            mine = calls.ClaimStatus.MINE
+            stands = self.view(state, at).claim_status(KEY, told) is mine
             phase = "claimed" if stands else "idle"
             steps.append(("reads it back", put(state, at, phase=phase)))
         return steps
