--- a/camphortray/forwarder.py
+++ b/camphortray/forwarder.py
@@ -1,4 +1,4 @@
-"""Takes one opaque request to an engine and brings its answer back."""
+"""Forwards one opaque request to an engine and returns its answer."""
 
 __all__ = ["Forwarder", "ForwarderParts"]
 
@@ -28,92 +28,95 @@
 from camphortray import slot_scheduler
 
 LOG = logs.logger("forwarder")
-# Tries before a request is given up, most of which an engine refused as
-# not run; each of these costs a few milliseconds.
+# Attempts per request. Most of them are refusals by an engine that did not
+# run the request, which cost a few milliseconds each.
 MAX_TRIES = 6
-# Share of the pause that its route allows after which a stream that may be
-# resumed goes on at another engine; the rest is for its first event there,
-# which takes some tens of milliseconds.
-SILENT_SHARE = 0.8
-# The same in seconds, where the route allows no pause in particular, and at
-# least: engines that run full make an event in some tens of milliseconds.
-SILENT_S = 0.25
-LEAST_SILENT_S = 0.1
-# Objectives without a first event after which another engine is tried, and
-# an engine counts as silent. Late by then, whatever comes.
-FIRST_SILENT_TIMES = 2.0
-# Statuses with which an engine ends a request that another could answer.
-PASSING = frozenset({500, 502, 504})
+# A resumable stream moves to another engine after this share of the gap
+# between events that its route allows; the rest is left for the first event
+# from the new engine, which takes some tens of milliseconds.
+GAP_LIMIT_SHARE = 0.8
+# Gap limit of a route that sets none, and the lowest limit of any route, in
+# seconds. Fully loaded engines emit an event in some tens of milliseconds.
+DEFAULT_GAP_LIMIT_S = 0.25
+MIN_GAP_LIMIT_S = 0.1
+# An engine without a first event after this many times the route's objective
+# counts as silent, and another is tried; the objective is missed anyway.
+FIRST_EVENT_LIMIT_OBJECTIVES = 2.0
+# Statuses of an engine's answer after which another engine is tried.
+RETRYABLE_STATUSES = frozenset({500, 502, 504})
 
 
 @dataclasses.dataclass(frozen=True)
 class ForwarderParts:
-    """The parts of the program that a forwarder works with."""
+    """The components that a forwarder uses."""
 
     clock: clocks.Clock
     backends: backends.LedgerBackends
     active_config: active_config.ActiveConfig
     slots: slot_client.SlotClient
-    breaks: crash_reports.CrashReports
+    crashes: crash_reports.CrashReports
     metrics: metrics_module.Metrics
 
 
 class SlotTry(proxy_exchange.Try):
-    """One try at an engine that the book of slots has given.
+    """One attempt at an engine, in a leased slot.
 
     Attributes:
-      had: Events that the caller had when it began.
-      begun_at: Monotonic seconds.
+      lease: The lease of the slot.
+      events_before: Number of events received before this attempt.
+      begun_at: Start of the attempt, in monotonic seconds.
     """
 
     def __init__(
         self,
         parts: ForwarderParts,
-        held: lease_table.HeldLease,
+        lease: lease_table.HeldLease,
         reader: eventstream.EventReader,
         route: routemap.Route,
     ) -> None:
-        party = parts.backends.engine(held.upstream.plugin)
-        super().__init__(held.upstream, party)
+        client = parts.backends.engine(lease.upstream.plugin)
+        super().__init__(lease.upstream, client)
         self.parts = parts
-        self.held = held
+        self.lease = lease
         self.reader = reader
         self.route = route
-        self.had = reader.count
+        self.events_before = reader.count
         self.begun_at = now_of(parts)
 
     @property
-    def brought(self) -> bool:
-        """Whether the try has brought any event."""
-        return self.reader.count > self.had
+    def received_events(self) -> bool:
+        """Whether this attempt has received any event."""
+        return self.reader.count > self.events_before
 
     async def ended(self, error: BaseException | None) -> None:
-        self.parts.slots.release(self.held, self.outcome(error))
+        self.parts.slots.release(self.lease, self.outcome(error))
 
     def outcome(self, error: BaseException | None) -> enginehealth.Outcome:
-        """Return what the end says of the engine."""
+        """Return what the end of the attempt shows about the engine."""
         if error is None:
             return enginehealth.Outcome.GOOD
         if isinstance(error, errors.UpstreamError):
             return enginehealth.outcome_of(error)
-        # The caller has left, or its time is over. Where nothing had come
-        # for long, that says something of the engine.
-        silent_s = 0.0 if self.brought else now_of(self.parts) - self.begun_at
-        if silent_s > first_silent_s(self.route):
+        # The caller disconnected or the deadline passed. This counts against
+        # the engine only if its first event was overdue.
+        silent_s = (
+            0.0 if self.received_events else now_of(self.parts) - self.begun_at
+        )
+        if silent_s > first_event_limit_s(self.route):
             return enginehealth.Outcome.BROKEN
         return enginehealth.Outcome.NOTHING
 
 
 class Forwarder(proxy_exchange.Exchange):
-    """One opaque request until its answer has ended.
+    """One opaque request, until its answer has ended.
 
     Attributes:
-      reader: What of a stream the caller has.
-      caller: On whose behalf it runs.
-      answer: The last whole answer of an engine, not yet passed on.
-      engine: Of the last try.
-      coordinator: Who gave its slot.
-      slot_s: Seconds that the last slot was waited for.
+      reader: Tracks the events received over all engines.
+      caller: The caller that the request runs for.
+      answer: The last complete answer of an engine, not yet sent.
+      engine: Name of the engine of the last attempt.
+      coordinator: Name of the coordinator that granted its slot.
+      slot_s: Seconds spent waiting for the last slot.
       first_s: Seconds from the arrival to the first event.
     """
 
@@ -140,11 +143,11 @@
         except errors.Refused:
             if not self.response.status:
                 raise
-            # An answer that ends early must not look complete.
+            # A truncated answer must not look complete to the caller.
             self.response.abort()
 
     async def run_in_time(self) -> None:
-        """Run until the deadline; errors as ``run``."""
+        """Run until the deadline; raises what ``run`` raises."""
         self.admit()
         try:
             async with asyncio.timeout(self.left_s()):
@@ -154,10 +157,10 @@
             self.give_up(504, "too_late", "time is over", None, cause)
 
     def admit(self) -> None:
-        """Find on whose behalf the request runs, as its key says now.
+        """Look up the caller by its key in the present configuration.
 
         Raises:
-          Refused: no workspace holds its key.
+          Refused: the key belongs to no workspace.
         """
         try:
             self.caller = self.parts.active_config.admit(
@@ -175,10 +178,10 @@
         retry_after: float | None,
         cause: early_end.Cause,
     ) -> NoReturn:
-        """End the request without an answer, or cut off one that has begun.
+        """Log the end of a request without a complete answer, and refuse it.
 
         Raises:
-          Refused: always.
+          Refused: always; ``run`` aborts the answer if it has begun.
         """
         self.log_end(status, why, cause)
         raise errors.Refused(
@@ -192,15 +195,13 @@
     def log_end(
         self, status: int, why: str, cause: early_end.Cause | None = None
     ) -> None:
-        """Write the line on how the request ended, with what decided it.
-
-        It also feeds the metrics, which count the same ends.
+        """Log how the request ended, and count it in the metrics.
 
         Args:
-          status: That the caller gets, or would have got if its answer had
-            not begun.
-          why: In words.
-          cause: Of an end without a whole answer of an engine.
+          status: Status sent to the caller, or the one that it would have
+            got if its answer had not begun.
+          why: Reason, as text.
+          cause: Cause of an end without a complete answer of an engine.
         """
         cut = cause is not None and bool(self.response.status)
         now = now_of(self.parts)
@@ -255,8 +256,8 @@
         self.log_end(self.response.status, "answered")
 
     async def next_try(self) -> SlotTry:
-        if self.parts.breaks.barred(self.request.fingerprint):
-            # 503 would promise that it has not run.
+        if self.parts.crashes.barred(self.request.fingerprint):
+            # 503 would say that the request has not run.
             status = 502 if self.ran else 503
             cause = early_end.Cause.BARRED
             self.give_up(
@@ -277,25 +278,26 @@
         )
         service = route.service_of(self.request.id)
         try:
-            held = await self.parts.slots.acquire(service, want)
+            lease = await self.parts.slots.acquire(service, want)
         except errors.NoSlot as error:
-            self.no_slot(error)
+            self.refuse_without_slot(error)
         self.slot_s = now_of(self.parts) - now
-        self.engine = held.upstream.name
-        self.coordinator = held.coordinator
-        return SlotTry(self.parts, held, self.reader, route)
+        self.engine = lease.upstream.name
+        self.coordinator = lease.coordinator
+        return SlotTry(self.parts, lease, self.reader, route)
 
-    def request_for(self, held: proxy_exchange.Try) -> engine.EngineRequest:
+    def request_for(self, attempt: proxy_exchange.Try) -> engine.EngineRequest:
         if not self.ran:
-            # Its key may have been revoked, or moved to another workspace,
-            # while it waited. What may have run already is brought to its end.
+            # The key may have been revoked, or moved to another workspace,
+            # during the wait. A request that may have run already is not
+            # checked again.
             self.admit()
         return self.request.for_engine(
             now_of(self.parts),
             self.reader.last,
-            # Not counted yet, this try may have run by the time it is silent.
-            first_silent_s(self.request.route)
-            if self.movable_after(self.ran + 1)
+            # This attempt is not yet counted in ``ran``.
+            first_event_limit_s(self.request.route)
+            if self.retryable_after(self.ran + 1)
             else 0.0,
             self.caller.workspace,
         )
@@ -304,32 +306,40 @@
         return stream.headers
 
     def first_limit_s(self) -> float:
-        if self.movable:
-            return first_silent_s(self.request.route)
+        if self.retryable:
+            return first_event_limit_s(self.request.route)
         return self.left_s()
 
     def silence_limit_s(self) -> float:
-        # Only what may go on elsewhere is timed.
-        return silent_s(self.request.route) if self.movable else self.left_s()
+        # Without another attempt, a time-out would only cut off the answer.
+        return (
+            gap_limit_s(self.request.route)
+            if self.retryable
+            else self.left_s()
+        )
 
     def left_s(self) -> float:
-        """Return the seconds left."""
+        """Return the seconds until the deadline."""
         return max(0.001, self.request.deadline_at - now_of(self.parts))
 
     def on_first(self) -> None:
         self.first_s = now_of(self.parts) - self.request.arrived_at
 
-    def no_slot(self, error: errors.NoSlot) -> NoReturn:
-        """Refuse: certainly not run, or cut off where it has run."""
+    def refuse_without_slot(self, error: errors.NoSlot) -> NoReturn:
+        """Refuse the request as not run, or as failed if it may have run.
+
+        Raises:
+          Refused: always.
+        """
         cause = early_end.Cause.NO_SLOT
         if self.ran:
             self.give_up(502, "upstream_failed", str(error), None, cause)
         self.give_up(503, "busy", str(error), error.retry_after_s, cause)
 
     def go_on(
-        self, held: proxy_exchange.Try, error: errors.UpstreamError
+        self, attempt: proxy_exchange.Try, error: errors.UpstreamError
     ) -> bool:
-        name = held.upstream.name
+        name = attempt.upstream.name
         cause = early_end.cause_of(error)
         early_end.count(self.parts.metrics, "request", cause)
         LOG.info(
@@ -344,17 +354,17 @@
         )
         if isinstance(error, errors.UpstreamRefused) and error.leaving:
             self.parts.active_config.note_leaving(name)
-        if self.broke(held, error):
-            self.parts.breaks.report(
+        if self.may_have_crashed(attempt, error):
+            self.parts.crashes.report(
                 self.request.fingerprint, f"{self.request.id}.{self.ran}"
             )
         if self.rule.allows(error, self.ran, self.refused):
             self.reader.restart()
             return True
         if self.answer is not None and not self.response.status:
-            # The engine's own failure; passed on as it is.
+            # Send the error answer of the engine unchanged.
             self.answer.send(self.response)
-            self.log_end(self.answer.status, "the engine's own failure")
+            self.log_end(self.answer.status, "error answer of the engine")
         elif self.ran:
             self.give_up(502, "upstream_failed", str(error), None, cause)
         else:
@@ -364,84 +374,88 @@
 
     @property
     def rule(self) -> retry.RetryRule:
-        """Which tries may follow."""
+        """The rule for further attempts."""
         route = self.request.route
         return retry.RetryRule(route.repeatable, route.max_attempts, MAX_TRIES)
 
-    def broke(
-        self, held: proxy_exchange.Try, error: errors.UpstreamError
+    def may_have_crashed(
+        self, attempt: proxy_exchange.Try, error: errors.UpstreamError
     ) -> bool:
         """Return whether the request may have crashed its engine.
 
-        What does so does it as it begins to run; and silence may be this
-        host's own, which stood still or is slow.
+        A request that crashes engines does so before its first event. A
+        time-out is no sign of it: this host may have been paused or slow.
         """
         return (
             error.ran
             and isinstance(error, errors.UpstreamBroken)
             and not isinstance(error, errors.UpstreamTimeout)
-            and isinstance(held, SlotTry)
-            and not held.brought
+            and isinstance(attempt, SlotTry)
+            and not attempt.received_events
         )
 
     @property
-    def movable(self) -> bool:
-        """Whether a try under way may be followed by one more."""
-        return self.movable_after(self.ran)
+    def retryable(self) -> bool:
+        """Whether the current attempt may be followed by another."""
+        return self.retryable_after(self.ran)
 
-    def movable_after(self, ran: int) -> bool:
-        """Return whether another try may follow once so many may have run."""
+    def retryable_after(self, ran: int) -> bool:
+        """Return whether another attempt may follow ``ran`` that may have run.
+
+        Args:
+          ran: Number of attempts that may have run.
+        """
         route = self.request.route
         return route.repeatable and ran < route.max_attempts
 
     async def pass_whole(
-        self, stream: engine.EngineStream, held: proxy_exchange.Try
+        self, stream: engine.EngineStream, attempt: proxy_exchange.Try
     ) -> None:
         body = await engine.read_all(stream, self.left_s())
         self.answer = Answer(stream.status, body, stream.headers)
-        if stream.status in PASSING and self.movable:
+        if stream.status in RETRYABLE_STATUSES and self.retryable:
             raise errors.UpstreamRefused(
-                "failed there",
+                "the engine failed the request",
                 status=stream.status,
                 ran=True,
                 step="run",
-                peer=held.upstream.name,
+                peer=attempt.upstream.name,
             )
         if self.response.status:
             raise errors.UpstreamBroken(
-                f"status {stream.status} to a stream that goes on",
+                f"status {stream.status} in answer to a resumed stream",
                 ran=True,
                 step="resume",
-                peer=held.upstream.name,
+                peer=attempt.upstream.name,
             )
         self.answer.send(self.response)
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Answer:
-    """A whole answer of an engine."""
+    """A complete answer of an engine."""
 
     status: int
     body: bytes
     headers: tuple[tuple[str, str], ...]
 
     def send(self, response: httpserver.Response) -> None:
-        """Pass it on unchanged."""
+        """Send it to the caller unchanged."""
         response.send(self.status, self.body, self.headers)
 
 
-def first_silent_s(route: routemap.Route) -> float:
-    """Return the silence before the first event that tells of a fault."""
-    return FIRST_SILENT_TIMES * route.objective_s
+def first_event_limit_s(route: routemap.Route) -> float:
+    """Return the time after which a missing first event is a fault."""
+    return FIRST_EVENT_LIMIT_OBJECTIVES * route.objective_s
 
 
-def silent_s(route: routemap.Route) -> float:
-    """Return the silence within a stream that tells of a fault."""
+def gap_limit_s(route: routemap.Route) -> float:
+    """Return the time after which a missing later event is a fault."""
     if not route.gap_s:
-        return SILENT_S
-    return max(LEAST_SILENT_S, SILENT_SHARE * route.gap_s)
+        return DEFAULT_GAP_LIMIT_S
+    return max(MIN_GAP_LIMIT_S, GAP_LIMIT_SHARE * route.gap_s)
 
 
 def now_of(parts: ForwarderParts) -> float:
-    """Return monotonic seconds."""
+    """Return the monotonic time in seconds."""
     return parts.clock.monotonic()
--- a/tests/test_forwarder.py
+++ b/tests/test_forwarder.py
@@ -1,4 +1,4 @@
-"""Opaque requests on their way: what callers get when engines fail."""
+"""Tests of forwarding opaque requests: what callers get on failures."""
 
 import asyncio
 import dataclasses
@@ -20,7 +20,7 @@
 
 
 class Response:
-    """Keeps what a caller would get."""
+    """Records what a caller would receive."""
 
     def __init__(self):
         self.status = 0
@@ -71,17 +71,17 @@
     return forwarder.Forwarder(parts, request, Response())
 
 
-async def outcome(held):
-    """Run a forwarder; return the status the caller sees, 0 for a cut."""
+async def outcome(forwarding):
+    """Run a forwarder; return the caller's status, 0 if it was cut off."""
     try:
-        await held.run()
+        await forwarding.run()
     except errors.Refused as refusal:
         return refusal.status
-    return 0 if held.response.aborted else held.response.status
+    return 0 if forwarding.response.aborted else forwarding.response.status
 
 
 def answer(*chunks):
-    """Return a good stream."""
+    """Return a successful stream."""
     return hostkit.Answer(chunks)
 
 
@@ -91,36 +91,36 @@
     hostkit.STREAM_ROUTE, kind=routemap.Kind.IDEMPOTENT, max_attempts=2
 )
 ONCE = dataclasses.replace(SAFE, kind=routemap.Kind.NON_IDEMPOTENT)
-# What a library has let out where it was to raise an error of its own.
-ODD = AttributeError("'NoneType' object has no attribute 'write'")
+# An error that a library raised instead of one of its own.
+UNEXPECTED = AttributeError("'NoneType' object has no attribute 'write'")
 
 
 async def test_a_stream_is_passed_on_unchanged():
-    held = forwarder_of([answer(*hostkit.events(1, 4))])
-    assert await outcome(held) == 200
-    assert held.response.data == ALL
-    assert held.response.headers == hostkit.STAMP
-    assert held.response.ended
-    assert held.parts.slots.ends == [hostkit.GOOD]
+    forwarding = forwarder_of([answer(*hostkit.events(1, 4))])
+    assert await outcome(forwarding) == 200
+    assert forwarding.response.data == ALL
+    assert forwarding.response.headers == hostkit.STAMP
+    assert forwarding.response.ended
+    assert forwarding.parts.slots.ends == [hostkit.GOOD]
 
 
 @pytest.mark.parametrize(
     ("route", "script", "status", "sent"),
     [
-        # Not run for certain: another engine, whatever the kind.
+        # Certainly not run: tried at another engine, whatever the kind.
         (hostkit.STREAM_ROUTE, [hostkit.FULL, answer(*TWO)], 200, 2),
         (hostkit.STREAM_ROUTE, [hostkit.UNREACHED, answer(*TWO)], 200, 2),
         (ONCE, [hostkit.FULL] * forwarder.MAX_TRIES, 503, 6),
-        # May have run: at most once where it may not be repeated.
+        # May have run: at most once if it is not repeatable.
         (hostkit.STREAM_ROUTE, [hostkit.BROKEN], 502, 1),
         (ONCE, [hostkit.BROKEN], 502, 1),
         (hostkit.STREAM_ROUTE, [answer(*TWO, hostkit.BROKEN)], 0, 1),
-        # Not run, then perhaps run: no promise any more.
+        # Not run, then perhaps run: not refused as not run.
         (ONCE, [hostkit.FULL, hostkit.BROKEN], 502, 2),
-        # May be repeated, within its attempts.
+        # Repeatable, up to the attempts of its route.
         (SAFE, [hostkit.BROKEN, hostkit.BROKEN], 502, 2),
         (hostkit.RESUMABLE, [hostkit.BROKEN, answer(*TWO)], 200, 2),
-        # A route with one attempt is not tried again.
+        # A request of a route with one attempt is not tried again.
         (
             dataclasses.replace(hostkit.RESUMABLE, max_attempts=1),
             [answer(*TWO, hostkit.BROKEN)],
@@ -136,65 +136,70 @@
         hostkit.Answer(a.chunks) if isinstance(a, hostkit.Answer) else a
         for a in script
     ]
-    held = forwarder_of(script, route)
-    assert await outcome(held) == status
-    assert len(held.parts.backends.party.seen) == sent
+    forwarding = forwarder_of(script, route)
+    assert await outcome(forwarding) == status
+    assert len(forwarding.parts.backends.party.seen) == sent
 
 
 @pytest.mark.parametrize("fault", [hostkit.BROKEN, hostkit.SILENT])
 async def test_a_resumable_stream_goes_on_in_the_same_answer(fault):
-    # The engine breaks off in the middle of event 3. The caller sees one
-    # answer, with the head of the first engine, each event once.
-    torn = hostkit.event(3)[:5]
+    # The engine fails in the middle of event 3. The caller sees one answer,
+    # with the headers of the first engine and each event once.
+    partial = hostkit.event(3)[:5]
     other = (("server-stamp", "s2"), ("content-type", hostkit.EVENTS))
-    held = forwarder_of(
+    forwarding = forwarder_of(
         [
-            hostkit.Answer([*TWO, torn, fault]),
+            hostkit.Answer([*TWO, partial, fault]),
             hostkit.Answer(hostkit.events(3, 4), headers=other),
         ],
         hostkit.RESUMABLE,
     )
-    assert await outcome(held) == 200
-    assert held.response.data == ALL
-    assert held.response.headers == hostkit.STAMP
-    (_, (_, second)) = held.parts.backends.party.seen
+    assert await outcome(forwarding) == 200
+    assert forwarding.response.data == ALL
+    assert forwarding.response.headers == hostkit.STAMP
+    (_, (_, second)) = forwarding.parts.backends.party.seen
     assert second.resume_after == "2"
 
 
 @pytest.mark.parametrize(
     ("route", "script", "status", "sent"),
     [
-        (hostkit.RESUMABLE, [ODD, answer(*TWO)], 200, 2),
-        (hostkit.RESUMABLE, [answer(TWO[0], ODD), answer(TWO[1])], 200, 2),
-        (SAFE, [ODD, ODD], 502, 2),
+        (hostkit.RESUMABLE, [UNEXPECTED, answer(*TWO)], 200, 2),
+        (
+            hostkit.RESUMABLE,
+            [answer(TWO[0], UNEXPECTED), answer(TWO[1])],
+            200,
+            2,
+        ),
+        (SAFE, [UNEXPECTED, UNEXPECTED], 502, 2),
         # It may have run, and must not run again.
-        (ONCE, [ODD], 502, 1),
+        (ONCE, [UNEXPECTED], 502, 1),
     ],
 )
-async def test_an_odd_error_ends_a_try_and_not_the_request(
+async def test_an_unexpected_error_ends_an_attempt_and_not_the_request(
     route, script, status, sent
 ):
-    # A library lets out an error that no code expects, on the way to an
-    # engine or back. The caller got 500 while another engine stood ready.
-    # It says nothing of the engine, nor that the request crashes engines.
+    # A library raises an error that no code expects, on sending or reading.
+    # The caller got 500 although another engine was available. The error
+    # is no sign of a failing engine, nor of a request that crashes engines.
     script = [
         hostkit.Answer(a.chunks) if isinstance(a, hostkit.Answer) else a
         for a in script
     ]
-    held = forwarder_of(script, route)
-    assert await outcome(held) == status
-    assert len(held.parts.backends.party.seen) == sent
-    ends = held.parts.slots.ends
+    forwarding = forwarder_of(script, route)
+    assert await outcome(forwarding) == status
+    assert len(forwarding.parts.backends.party.seen) == sent
+    ends = forwarding.parts.slots.ends
     good = [hostkit.GOOD] if status == 200 else []
-    odd = [enginehealth.Outcome.NOTHING] * (sent - len(good))
-    assert ends == odd + good
-    assert not held.parts.breaks.told
+    failed = [enginehealth.Outcome.NOTHING] * (sent - len(good))
+    assert ends == failed + good
+    assert not forwarding.parts.crashes.told
 
 
 async def test_a_stream_torn_at_its_end_is_not_made_to_look_whole():
-    held = forwarder_of([hostkit.Answer([*TWO, hostkit.event(3)[:5]])])
-    assert await outcome(held) == 0
-    assert not held.response.ended
+    forwarding = forwarder_of([hostkit.Answer([*TWO, hostkit.event(3)[:5]])])
+    assert await outcome(forwarding) == 0
+    assert not forwarding.response.ended
 
 
 @pytest.mark.parametrize(
@@ -211,113 +216,115 @@
     route, statuses, seen
 ):
     script = [hostkit.Answer([b"{}"], s, BODY) for s in statuses]
-    held = forwarder_of(script, route)
-    assert await outcome(held) == seen
-    assert held.response.data == b"{}"
-    assert held.response.headers == BODY
+    forwarding = forwarder_of(script, route)
+    assert await outcome(forwarding) == seen
+    assert forwarding.response.data == b"{}"
+    assert forwarding.response.headers == BODY
 
 
-async def test_no_room_is_told_at_once_with_a_time_to_come_back():
-    held = forwarder_of([], refusals=1)
+async def test_a_request_without_a_slot_is_refused_at_once_with_retry_after():
+    forwarding = forwarder_of([], refusals=1)
     with pytest.raises(errors.Refused) as told:
-        await held.run()
+        await forwarding.run()
     assert (told.value.status, told.value.ran) == (503, "no")
     assert told.value.retry_after == 0.25
     assert asyncio.get_running_loop().time() < 0.01
 
 
 async def test_no_room_after_a_try_that_ran_promises_nothing():
-    # The first try broke off and may have run; a 503 now would say that
-    # the request never runs.
-    held = forwarder_of([hostkit.BROKEN], hostkit.RESUMABLE)
-    acquire = held.parts.slots.acquire
+    # The first attempt was cut off and may have run; a 503 would say that
+    # the request has not run.
+    forwarding = forwarder_of([hostkit.BROKEN], hostkit.RESUMABLE)
+    acquire = forwarding.parts.slots.acquire
 
-    async def once(service, want, on_revoke=None):
-        placed = await acquire(service, want, on_revoke)
-        held.parts.slots.refusals = 1
-        return placed
+    async def acquire_once(service, want, on_revoke=None):
+        lease = await acquire(service, want, on_revoke)
+        forwarding.parts.slots.refusals = 1
+        return lease
 
-    held.parts.slots.acquire = once
-    assert await outcome(held) == 502
+    forwarding.parts.slots.acquire = acquire_once
+    assert await outcome(forwarding) == 502
 
 
-async def test_time_is_over_while_an_engine_is_silent():
-    # At the operator's limit the caller gets its 504 and the engine's
-    # connection is closed.
+async def test_the_deadline_passes_while_an_engine_is_silent():
+    # At the time-out of the route the caller gets 504 and the connection to
+    # the engine is closed.
     silent = hostkit.Answer([])
 
     async def read(timeout_s):
         await asyncio.sleep(60.0)
 
     silent.read = read
-    held = forwarder_of([silent])
-    assert await outcome(held) == 504
+    forwarding = forwarder_of([silent])
+    assert await outcome(forwarding) == 504
     assert silent.closed
     assert asyncio.get_running_loop().time() == pytest.approx(5.0, abs=0.1)
 
 
 async def test_an_engine_gets_no_more_time_than_is_left():
-    held = forwarder_of([answer(*TWO)])
-    held.request = dataclasses.replace(
-        held.request, deadline_at=held.request.arrived_at + 1.0
+    forwarding = forwarder_of([answer(*TWO)])
+    forwarding.request = dataclasses.replace(
+        forwarding.request, deadline_at=forwarding.request.arrived_at + 1.0
     )
-    await held.run()
-    ((_, request),) = held.parts.backends.party.seen
+    await forwarding.run()
+    ((_, request),) = forwarding.parts.backends.party.seen
     assert request.deadline_s <= 1.0
 
 
-async def test_a_request_that_breaks_engines_is_not_run_again():
-    held = forwarder_of([])
-    held.parts.breaks.barring = True
-    assert await outcome(held) == 503
-    assert not held.parts.backends.party.seen
+async def test_a_request_that_crashes_engines_is_not_run_again():
+    forwarding = forwarder_of([])
+    forwarding.parts.crashes.barring = True
+    assert await outcome(forwarding) == 503
+    assert not forwarding.parts.backends.party.seen
 
 
-async def test_a_request_barred_after_it_ran_gets_no_promise():
-    # Its first engine breaks off; meanwhile other hosts tell of two more
-    # breaks, so that it is not tried again. A 503 would now say that it
-    # never ran, and its caller would send it once more.
-    held = forwarder_of([hostkit.BROKEN], hostkit.RESUMABLE)
+async def test_a_request_barred_after_it_ran_is_not_refused_as_not_run():
+    # Its first engine closes the connection; meanwhile other hosts report
+    # two more crashes, so that it is not tried again. A 503 would say that
+    # it has not run, and its caller would send it again.
+    forwarding = forwarder_of([hostkit.BROKEN], hostkit.RESUMABLE)
 
     def report(fingerprint, name):
-        held.parts.breaks.barring = True
+        forwarding.parts.crashes.barring = True
 
-    held.parts.breaks.report = report
-    assert await outcome(held) == 502
+    forwarding.parts.crashes.report = report
+    assert await outcome(forwarding) == 502
 
 
-async def test_each_break_is_told_to_all_hosts():
-    held = forwarder_of([hostkit.BROKEN, hostkit.BROKEN], hostkit.RESUMABLE)
-    await outcome(held)
-    fingerprints = {name for name, _ in held.parts.breaks.told}
-    assert len(held.parts.breaks.told) == 2
-    assert fingerprints == {held.request.fingerprint}
+async def test_each_crash_is_reported_to_all_hosts():
+    forwarding = forwarder_of(
+        [hostkit.BROKEN, hostkit.BROKEN], hostkit.RESUMABLE
+    )
+    await outcome(forwarding)
+    fingerprints = {name for name, _ in forwarding.parts.crashes.told}
+    assert len(forwarding.parts.crashes.told) == 2
+    assert fingerprints == {forwarding.request.fingerprint}
 
 
-async def test_a_caller_that_goes_ends_the_engines_work():
-    waiting = hostkit.Answer([])
+async def test_a_caller_that_disconnects_ends_the_request_at_the_engine():
+    pending = hostkit.Answer([])
     begun = asyncio.Event()
 
     async def read(timeout_s):
         begun.set()
         await asyncio.sleep(60.0)
 
-    waiting.read = read
-    held = forwarder_of([waiting])
-    task = asyncio.ensure_future(held.run())
+    pending.read = read
+    forwarding = forwarder_of([pending])
+    task = asyncio.ensure_future(forwarding.run())
     await begun.wait()
     task.cancel()
     with pytest.raises(asyncio.CancelledError):
         await task
-    assert waiting.closed
-    assert len(held.parts.slots.ends) == 1
+    assert pending.closed
+    assert len(forwarding.parts.slots.ends) == 1
 
 
-def test_what_stays_of_a_request_sent_again():
-    one = types.SimpleNamespace(target="/p/1", body=b"b")
-    print_of = opaque.OpaqueRequest.fingerprint.fget
-    assert print_of(one) == print_of(one)
-    assert print_of(one) != print_of(
+def test_a_request_sent_again_keeps_its_fingerprint():
+    request = types.SimpleNamespace(target="/p/1", body=b"b")
+    fingerprint_of = opaque.OpaqueRequest.fingerprint.fget
+    assert fingerprint_of(request) == fingerprint_of(request)
+    assert fingerprint_of(request) != fingerprint_of(
         types.SimpleNamespace(target="/p/1", body=b"c")
     )
 
@@ -325,22 +332,24 @@
 @pytest.mark.parametrize(
     ("waits_s", "outcome_name"), [(0.4, "NOTHING"), (3.0, "BROKEN")]
 )
-async def test_an_engine_that_hangs_is_told_of(waits_s, outcome_name):
-    # It takes requests and never answers; their callers leave. Not told,
-    # it would keep getting its share of them.
+async def test_an_engine_that_hangs_is_reported_as_failed(
+    waits_s, outcome_name
+):
+    # It accepts requests and never answers, until their callers disconnect.
+    # Unless reported, it would keep getting its share of requests.
     hanging = hostkit.Answer([])
 
     async def read(timeout_s):
         await asyncio.sleep(3600.0)
 
     hanging.read = read
-    held = forwarder_of([hanging])
-    task = asyncio.ensure_future(held.run())
+    forwarding = forwarder_of([hanging])
+    task = asyncio.ensure_future(forwarding.run())
     await asyncio.sleep(waits_s)
     task.cancel()
     with pytest.raises(asyncio.CancelledError):
         await task
-    assert [end.name for end in held.parts.slots.ends] == [outcome_name]
+    assert [end.name for end in forwarding.parts.slots.ends] == [outcome_name]
 
 
 @pytest.mark.parametrize(
@@ -351,43 +360,43 @@
     ],
     ids=["in the middle", "silent"],
 )
-async def test_what_is_no_sign_of_a_request_that_crashes_engines(script):
+async def test_a_failure_in_a_stream_or_a_time_out_is_no_crash(script):
     script = [
         hostkit.Answer(a.chunks) if isinstance(a, hostkit.Answer) else a
         for a in script
     ]
-    held = forwarder_of(script, hostkit.RESUMABLE)
-    assert await outcome(held) == 200
-    assert held.parts.breaks.told == []
+    forwarding = forwarder_of(script, hostkit.RESUMABLE)
+    assert await outcome(forwarding) == 200
+    assert forwarding.parts.crashes.told == []
 
 
 @pytest.mark.parametrize(
     ("fields", "first_s", "later_s"),
     [
         ({"objective_s": 0.3, "gap_s": 0.3}, 0.6, 0.24),
-        # Slow engines, as their operator knows: not moved for that.
+        # A route of slow engines, whose requests stay where they are.
         ({"objective_s": 5.0, "gap_s": 2.0}, 10.0, 1.6),
-        ({"objective_s": 0.3, "gap_s": 0.05}, 0.6, forwarder.LEAST_SILENT_S),
-        ({"objective_s": 0.3}, 0.6, forwarder.SILENT_S),
+        ({"objective_s": 0.3, "gap_s": 0.05}, 0.6, forwarder.MIN_GAP_LIMIT_S),
+        ({"objective_s": 0.3}, 0.6, forwarder.DEFAULT_GAP_LIMIT_S),
     ],
 )
-async def test_how_long_an_engine_may_be_silent_is_the_routes_to_say(
+async def test_the_route_sets_how_long_an_engine_may_be_silent(
     fields, first_s, later_s
 ):
-    # The engine sends two events and then nothing. Its caller sees the
+    # The engine sends two events and then nothing. The caller gets the
     # rest from another engine, after the time that the route allows.
-    silences = []
+    timeouts = []
     silent = hostkit.Answer([*TWO, hostkit.SILENT])
     read = silent.read
 
     async def timed(timeout_s):
-        silences.append(timeout_s)
+        timeouts.append(timeout_s)
         return await read(timeout_s)
 
     silent.read = timed
     route = dataclasses.replace(hostkit.RESUMABLE, **fields)
-    held = forwarder_of([silent, answer(*hostkit.events(3, 4))], route)
-    assert await outcome(held) == 200
-    assert held.response.data == ALL
-    assert silences[0] == pytest.approx(first_s)
-    assert silences[-1] == pytest.approx(later_s)
+    forwarding = forwarder_of([silent, answer(*hostkit.events(3, 4))], route)
+    assert await outcome(forwarding) == 200
+    assert forwarding.response.data == ALL
+    assert timeouts[0] == pytest.approx(first_s)
+    assert timeouts[-1] == pytest.approx(later_s)
