--- a/camphortray/proxy_exchange.py
+++ b/camphortray/proxy_exchange.py
@@ -1,9 +1,9 @@
-"""One online request on its way: its tries, its answer, its end.
+"""Runs one online request: attempts at engines and the caller's answer.
 
-What is alike whatever the protocol of the request stands here: a try at an
-engine, the answer passed on as it comes, a stream that goes on at another
-engine. Who finds an engine, and what follows on a failure, is a front's to
-say: ``forwarder`` for opaque requests, ``completing`` for completions.
+This module holds what does not depend on the protocol of the request:
+attempts, answers streamed to the caller, and streams resumed at another
+engine. Subclasses choose the engine and handle failures: ``forwarder`` for
+opaque requests, ``completing`` for completions.
 """
 
 __all__ = ["EVENTS", "Exchange", "Try"]
@@ -23,11 +23,11 @@
 
 
 class Try(abc.ABC):
-    """One try at an engine, told how it goes.
+    """One attempt at an engine, with callbacks on its progress.
 
     Attributes:
       upstream: The engine.
-      party: Speaks to it.
+      party: Client of the engine.
     """
 
     def __init__(
@@ -37,32 +37,32 @@
         self.party = party
 
     def first(self) -> None:
-        """Take note: the first bytes of a stream have come."""
+        """Handle the arrival of the first bytes of a stream."""
 
     def more(self) -> None:
-        """Take note: more bytes have come; runs for each piece."""
+        """Handle the arrival of each later chunk of a stream."""
 
     @abc.abstractmethod
     async def ended(self, error: BaseException | None) -> None:
-        """Give back what the try held; called once.
+        """Release what the attempt holds; called once.
 
         Args:
-          error: None for a whole answer, else what ended the try. Where
-            that is not an ``UpstreamError`` nothing may be waited for, as
-            the caller has gone or its time is over.
+          error: None for a complete answer, else what ended the attempt.
+            If that is not an ``UpstreamError``, this must not block: the
+            caller has disconnected or its deadline has passed.
         """
 
 
 class Exchange(abc.ABC):
-    """One request until its answer has ended.
+    """One request, until its answer has ended.
 
     Attributes:
-      response: What the caller gets.
-      framing: What of a stream the caller has.
-      takes_events: Whether a streamed answer is passed on as it comes.
-      ran: Tries that may have run.
-      refused: Tries that certainly did not.
-      tried: Engines tried.
+      response: Response to the caller.
+      framing: Cuts the streams of all engines into complete events.
+      takes_events: Whether a streamed answer is sent on as it arrives.
+      ran: Number of attempts that may have run.
+      refused: Number of attempts that certainly did not run.
+      tried: Names of the engines tried.
     """
 
     def __init__(
@@ -78,94 +78,96 @@
         self.refused = 0
         self.tried: frozenset[str] = frozenset()
 
-    # What a front says.
+    # Defined by subclasses.
 
     @abc.abstractmethod
     async def next_try(self) -> Try:
-        """Return where the request is tried next.
+        """Return the next attempt.
 
         Raises:
-          Refused: nowhere.
+          Refused: there is no engine for it.
         """
 
     @abc.abstractmethod
-    def request_for(self, held: Try) -> engine.EngineRequest:
-        """Return what is sent to an engine now."""
+    def request_for(self, attempt: Try) -> engine.EngineRequest:
+        """Return the request to send to the engine of an attempt."""
 
     @abc.abstractmethod
-    def go_on(self, held: Try, error: errors.UpstreamError) -> bool:
-        """Return whether a failed try is followed by another.
+    def go_on(self, attempt: Try, error: errors.UpstreamError) -> bool:
+        """Handle a failed attempt; return whether another one follows.
 
         Raises:
-          Refused: none follows, and the caller has had nothing yet.
+          Refused: none follows, and no complete answer has been sent.
         """
 
     @abc.abstractmethod
-    async def pass_whole(self, stream: engine.EngineStream, held: Try) -> None:
-        """Pass on an answer that is no stream of events.
+    async def pass_whole(
+        self, stream: engine.EngineStream, attempt: Try
+    ) -> None:
+        """Send an answer that is not an event stream to the caller.
 
         Raises:
-          UpstreamError: it is not whole, or another engine may do better.
+          UpstreamError: it is incomplete, or another engine may succeed.
         """
 
     @abc.abstractmethod
     def head_of(self, stream: engine.EngineStream) -> Headers:
-        """Return the headers that a stream is passed on with."""
+        """Return the headers with which a stream is sent to the caller."""
 
     @abc.abstractmethod
     def first_limit_s(self) -> float:
-        """Return the silence allowed before a stream's first bytes."""
+        """Return the longest wait for a stream's first bytes, in seconds."""
 
     @abc.abstractmethod
     def silence_limit_s(self) -> float:
-        """Return the silence allowed within a stream."""
+        """Return the longest silence within a stream, in seconds."""
 
     def on_first(self) -> None:
-        """Take note: the caller is about to get the first event."""
+        """Called before the first event is sent to the caller."""
 
     def on_answered(self) -> None:
-        """Take note: the caller has had a whole answer of an engine."""
+        """Called once the caller has a complete answer of an engine."""
 
-    # What is alike.
+    # Common to all protocols.
 
     @property
     def tries(self) -> int:
-        """Tries made."""
+        """Number of attempts made."""
         return self.ran + self.refused
 
     async def run(self) -> None:
         """Try engines until the caller has its answer.
 
         Raises:
-          Refused: it could not be had, and nothing has been sent yet.
+          Refused: no engine gave a complete answer, or none was available.
         """
         while True:
-            held = await self.next_try()
+            attempt = await self.next_try()
             try:
-                await self.attempt(held)
+                await self.run_attempt(attempt)
             except errors.UpstreamError as error:
-                if not self.go_on(held, error):
+                if not self.go_on(attempt, error):
                     return
             else:
                 self.on_answered()
                 return
 
-    async def attempt(self, held: Try) -> None:
+    async def run_attempt(self, attempt: Try) -> None:
         """Run the request at one engine.
 
         Raises:
-          UpstreamError: there is no whole answer.
+          UpstreamError: there is no complete answer.
         """
         ended: BaseException | None = None
         try:
             fresh = self.tries > 0
-            request = self.request_for(held)
-            self.tried |= {held.upstream.name}
-            # Until the contrary is known, it may have run.
+            request = self.request_for(attempt)
+            self.tried |= {attempt.upstream.name}
+            # Assume that it may run until the engine shows that it did not.
             self.ran += 1
-            stream = await held.party.open(held.upstream, request, fresh)
+            stream = await attempt.party.open(attempt.upstream, request, fresh)
             try:
-                await self.pass_on(stream, held)
+                await self.pass_on(stream, attempt)
             finally:
                 stream.close()
         except errors.UpstreamError as error:
@@ -178,15 +180,15 @@
             ended = error
             raise
         except Exception as error:
-            # Whatever it is, it is the end of this try and nothing else: the
-            # caller got 500 while another engine stood ready.
+            # An unexpected error ends only this attempt; else the caller
+            # gets 500 although another engine is available.
             LOG.error(
-                "Try at {} failed by an error: {}",
-                held.upstream.name,
+                "Attempt at {} failed with an unexpected error: {}",
+                attempt.upstream.name,
                 "".join(traceback.format_exception(error)),
             )
             fault = errors.UpstreamFault(
-                repr(error), step="try", peer=held.upstream.name
+                repr(error), step="try", peer=attempt.upstream.name
             )
             ended = fault
             raise fault from error
@@ -194,32 +196,32 @@
             ended = error
             raise
         finally:
-            await held.ended(ended)
+            await attempt.ended(ended)
 
-    async def pass_on(self, stream: engine.EngineStream, held: Try) -> None:
-        """Give the caller an answer as it comes.
+    async def pass_on(self, stream: engine.EngineStream, attempt: Try) -> None:
+        """Send the answer of an engine to the caller.
 
         Raises:
-          UpstreamError: it is not whole.
+          UpstreamError: it is incomplete.
         """
         streamed = stream.content_type.startswith(EVENTS)
         if self.takes_events and streamed and stream.status // 100 == 2:
-            await self.pass_events(stream, held)
+            await self.pass_events(stream, attempt)
         else:
-            await self.pass_whole(stream, held)
+            await self.pass_whole(stream, attempt)
 
     async def pass_events(
-        self, stream: engine.EngineStream, held: Try
+        self, stream: engine.EngineStream, attempt: Try
     ) -> None:
-        """Pass on whole events until the stream ends.
+        """Send complete events to the caller until the stream ends.
 
-        The head waits for the first event, so that a try which fails
-        before it can still be refused, or made again elsewhere.
+        The response headers are sent with the first event, so that after an
+        earlier failure the request can be refused or tried elsewhere.
 
         Raises:
-          UpstreamError: it broke off, or was silent for too long.
+          UpstreamError: the stream was cut off, or silent for too long.
         """
-        framing, response, more = self.framing, self.response, held.more
+        framing, response, on_more = self.framing, self.response, attempt.more
         head = self.head_of(stream)
 
         def send(data: bytes) -> bool:
@@ -232,12 +234,12 @@
             return response.blocked
 
         def sink(data: bytes) -> bool:
-            more()
+            on_more()
             return send(data)
 
         first = await stream.read(self.first_limit_s())
         if first:
-            held.first()
+            attempt.first()
             send(first)
             limit_s = self.silence_limit_s()
             while not await stream.pipe(sink, limit_s):
@@ -247,6 +249,6 @@
                 "the stream ended early",
                 ran=True,
                 step="stream",
-                peer=held.upstream.name,
+                peer=attempt.upstream.name,
             )
         response.end()
