--- a/camphortray/early_end.py
+++ b/camphortray/early_end.py
@@ -1,4 +1,4 @@
-"""Why a try, or the answer that it was to bring, ended before it was whole."""
+"""Causes for which an attempt or an answer ends before it is complete."""
 
 __all__ = ["Cause", "cause_of", "count", "fields_of"]
 
@@ -10,7 +10,7 @@
 
 
 class Cause(enum.Enum):
-    """Ways in which an answer ends early."""
+    """Causes of the early end of an attempt or an answer."""
 
     SILENCE = "silence"
     CLOSED = "closed"
@@ -25,7 +25,7 @@
 
 
 def cause_of(error: errors.UpstreamError) -> Cause:
-    """Return the way in which a try ended.
+    """Return the cause for which a failed attempt ended.
 
     >>> cause_of(errors.UpstreamTimeout("silent", ran=True)).value
     'silence'
@@ -44,7 +44,7 @@
 
 
 def fields_of(error: errors.UpstreamError) -> dict[str, Any]:
-    """Return the fields of the log line on a try that ended early."""
+    """Return the log fields for an attempt that ended early."""
     paused_s = (
         error.paused_s if isinstance(error, errors.UpstreamBroken) else 0.0
     )
@@ -55,12 +55,12 @@
 
 
 def count(metrics: metrics_module.Metrics, work: str, cause: Cause) -> None:
-    """Count a try that ended early.
+    """Count an attempt that ended early.
 
     Args:
-      metrics: Of the process.
-      work: What was tried: ``"request"`` or ``"item"``.
-      cause: Why it ended.
+      metrics: Metrics of the process.
+      work: Kind of work: ``"request"`` or ``"item"``.
+      cause: Why the attempt ended.
     """
     metrics.inc(
         "camphortray_tries_ended_early_total",
