--- a/camphortray/retry.py
+++ b/camphortray/retry.py
@@ -1,4 +1,4 @@
-"""How many tries may follow on failed ones."""
+"""Limits on retries: per request, and as a share of successful requests."""
 
 __all__ = ["RetryBudget", "RetryRule"]
 
@@ -7,30 +7,31 @@
 
 from camphortray import errors
 
-# Retries are counted against the successes of this long, in seconds: long
-# enough that streams under way count among the successes.
+# Window in which retries are counted against successes. It is long enough
+# that streams still running count among the successes.
 WINDOW_S = 60.0
-# Retries allowed in a window without any success. It covers the loss of
-# one upstream with all its slots full; without it a quiet service could
-# not move its few streams off a lost upstream.
+# Retries allowed in a window without any success. This covers the loss of
+# one upstream with all its slots in use; without it a service with little
+# traffic could not move its few streams off a lost upstream.
 MIN_RETRIES = 32
+# Number of buckets into which the window is divided.
 BUCKETS = 12
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class RetryRule:
-    """Which failed tries of one request may be followed by another.
+    """Decides whether a failed attempt of a request may be retried.
 
     Attributes:
       repeatable: Whether the request may run more than once.
-      most_ran: Tries that may have run, at most.
-      most_tries: Tries at most, those certainly not run included.
-      final: Statuses of engines that another engine would give too.
+      max_ran: Limit on attempts that may have run.
+      max_attempts: Limit on all attempts, those that did not run included.
+      final: Statuses that any other engine would return too.
     """
 
     repeatable: bool
-    most_ran: int
-    most_tries: int
+    max_ran: int
+    max_attempts: int
     final: frozenset[int] = frozenset()
 
     def allows(
@@ -39,25 +40,24 @@
         """Return whether another engine may be tried.
 
         Args:
-          error: How the last try failed.
-          ran: Tries that may have run, the last one included.
-          refused: Tries that certainly did not.
+          error: How the last attempt failed.
+          ran: Number of attempts that may have run, with the last one.
+          refused: Number of attempts that certainly did not run.
         """
         if isinstance(error, errors.UpstreamRefused):
             if error.status in self.final:
                 return False
         if error.ran and not self.repeatable:
             return False
-        return ran < self.most_ran and ran + refused < self.most_tries
+        return ran < self.max_ran and ran + refused < self.max_attempts
 
 
 class RetryBudget:
     """Allows retries up to a share of recent successes.
 
-    Without it every caller's request becomes several while upstreams are
-    out, and the load that keeps them down grows with the failure. With it
-    the extra load is at most ``share`` of what lately worked, plus a
-    small fixed number.
+    Without it each request turns into several while upstreams are down,
+    and that load keeps them down. With it the extra load is at most
+    ``share`` of the recent successes, plus ``MIN_RETRIES``.
     """
 
     def __init__(self, share: float) -> None:
@@ -65,7 +65,7 @@
         self.buckets: collections.deque[list[float]] = collections.deque()
 
     def bucket(self, now: float) -> list[float]:
-        """Return the counts of the present slice of time."""
+        """Return the current bucket: start, successes and retries."""
         start = now - now % (WINDOW_S / BUCKETS)
         if not self.buckets or self.buckets[-1][0] < start:
             self.buckets.append([start, 0.0, 0.0])
@@ -74,7 +74,7 @@
         return self.buckets[-1]
 
     def succeeded(self, now: float) -> None:
-        """Count an answer that began well."""
+        """Count a success."""
         self.bucket(now)[1] += 1
 
     def allow(self, now: float) -> bool:
