--- a/camphortray/attempt.py
+++ b/camphortray/attempt.py
@@ -1,4 +1,4 @@
-"""What is known of a record while it is on its way to the log."""
+"""Tracks whether a record that is being appended may be in the log."""
 
 __all__ = ["Attempt"]
 
@@ -6,12 +6,12 @@
 
 
 class Attempt:
-    """One record, sent once or more.
+    """The append of one record, sent one or more times.
 
     Attributes:
-      maybe_taken: Whether the log may have it, or may yet get it from a
-        request whose answer was lost.
-      last: The last error, for people.
+      maybe_taken: Whether the log may hold the record, or may yet receive
+        it by a request whose answer was lost.
+      last: The last error, for error messages.
     """
 
     def __init__(self) -> None:
@@ -19,25 +19,25 @@
         self.last: errors.LogError | None = None
 
     def on_taken(self) -> None:
-        """Note that the log took it; only reading it back counts."""
+        """Note that the log accepted it; only reading it back confirms it."""
         self.maybe_taken = True
 
     def on_silence(self) -> None:
-        """Note that no answer came in time."""
+        """Note that the log did not answer in time."""
         self.maybe_taken = True
 
     def on_error(self, error: errors.LogError) -> None:
-        """Note an error; only ``LogRefused`` says that it was not taken.
+        """Note an error; only ``LogRefused`` means it was not appended.
 
-        One refusal does not take back an earlier doubt: the request
-        whose answer was lost may still be under way.
+        A refusal does not settle an earlier attempt whose answer was lost:
+        that request may still reach the log.
         """
         self.last = error
         if not isinstance(error, errors.LogRefused):
             self.maybe_taken = True
 
     def given_up(self, stream: str) -> errors.LogError:
-        """Return the error to raise for a record not read back."""
+        """Return the error to raise if the record was not read back."""
         if self.maybe_taken:
             return errors.AppendUnknown(
                 f"not read back in time: {self.last}",
