--- a/camphortray/replay_buffer.py
+++ b/camphortray/replay_buffer.py
@@ -1,4 +1,4 @@
-"""Keeps what is sent to a caller, for a resend of the same call."""
+"""Records the answer sent to a caller, to replay it to a repeated call."""
 
 __all__ = ["Recorder"]
 
@@ -9,7 +9,7 @@
 
 
 class Recorder:
-    """Stands in for a response and notes what goes through it."""
+    """Wraps a response and records what is sent through it."""
 
     def __init__(self, response: httpmessage.Response) -> None:
         self.response = response
@@ -20,7 +20,7 @@
         return getattr(self.response, name)
 
     def start(self, status: int, headers: httpmessage.Headers = ()) -> None:
-        """Send the head of a chunked answer."""
+        """Send the status and headers of a chunked answer."""
         self.headers = tuple(headers)
         self.response.start(status, headers)
 
@@ -32,11 +32,11 @@
     def send(
         self, status: int, body: bytes, headers: httpmessage.Headers = ()
     ) -> None:
-        """Send a whole answer."""
+        """Send a complete answer."""
         self.headers, self.pieces = tuple(headers), [body]
         self.response.send(status, body, headers)
 
     def answer(self) -> calls.Answer:
-        """Return what was sent."""
+        """Return the recorded answer."""
         body = b"".join(self.pieces)
         return calls.Answer(self.response.status, self.headers, body)
