--- a/camphortray/eventstream.py
+++ b/camphortray/eventstream.py
@@ -1,4 +1,4 @@
-"""Event streams: how they are cut, and those whose events carry ids."""
+"""Parses server-sent event streams and checks the order of event ids."""
 
 __all__ = ["Event", "EventReader", "Framing", "events_of"]
 
@@ -8,7 +8,7 @@
 from camphortray import errors
 
 EVENT_END = b"\n\n"
-# A stream that sends no end of an event for this long is no event stream.
+# A stream that exceeds this without the end of an event is rejected.
 MAX_EVENT_BYTES = 1_048_576
 
 
@@ -18,7 +18,7 @@
 
     Attributes:
       id: As the engine sent it; empty if it sent none.
-      data: Its data, lines joined by line feeds.
+      data: Its data lines, joined by line feeds.
     """
 
     id: str
@@ -26,7 +26,7 @@
 
 
 def parse(raw: bytes) -> Event:
-    r"""Return the event that some bytes hold.
+    r"""Parse the bytes of one event.
 
     >>> parse(b"id: 4\ndata: a\ndata: b")
     Event(id='4', data=b'a\nb')
@@ -44,9 +44,9 @@
 
 
 def events_of(raw: bytes) -> list[Event]:
-    r"""Return the events in whole bytes of a stream.
+    r"""Return the events in a part of a stream that ends with an event.
 
-    What has neither an id nor data is a comment, or no event at all.
+    A block with neither an id nor data, such as a comment, is skipped.
 
     >>> events_of(b": still there\n\nid: 1\ndata: a\n\n")
     [Event(id='1', data=b'a')]
@@ -56,38 +56,39 @@
 
 
 class Framing(abc.ABC):
-    """Cuts a stream into whole events, over all engines that make it.
+    """Cuts a stream into complete events, also across several engines.
 
-    Part of an event is held back: a stream that breaks in the middle of
-    one and goes on at another engine would else show it torn or twice.
+    Part of an event is held back; else a stream that fails within an event
+    and resumes at another engine would show it truncated or twice.
     """
 
     @abc.abstractmethod
     def feed(self, data: bytes) -> bytes:
-        """Take bytes; return those of whole events.
+        """Add bytes of the stream; return those of complete events.
 
         Raises:
-          UpstreamBroken: they cannot be trusted.
+          UpstreamBroken: the bytes are not a valid stream.
         """
 
     @abc.abstractmethod
     def restart(self) -> None:
-        """Make ready for the stream that goes on behind the last event."""
+        """Prepare for a new stream that resumes after the last event."""
 
     @property
     @abc.abstractmethod
     def whole(self) -> bool:
-        """Whether the stream may end here."""
+        """Whether the stream is complete if it ends here."""
 
 
 class EventReader(Framing):
-    """Cuts a stream into whole events and checks their order.
+    """Cuts a stream into complete events and checks their order.
 
     Attributes:
-      last: Id of the last whole event, over all engines.
-      count: Whole events.
-      doubted: Whether an event out of order has come after a single one,
-        so that either may be the wrong one.
+      tail: Bytes of the event that is not yet complete.
+      last: Id of the last complete event, over all engines.
+      count: Number of complete events.
+      doubted: Whether the second event was out of order, so that either of
+        the two may have the wrong id.
     """
 
     def __init__(self) -> None:
@@ -110,15 +111,15 @@
         return whole
 
     def check(self, events: list[Event]) -> None:
-        """Count events, all or none; each id must follow the one before.
+        """Check that each id follows the one before, and count the events.
 
-        Counting some of them and failing at a later one would leave out
-        what the caller never got.
+        All events are counted or none: those before a fault do not reach
+        the caller, and if counted they would be missing after a resume.
         """
         last = self.last
         for event in events:
             if not event.id.isprintable() or not event.id.isascii():
-                # It would be sent back as a header, to go on behind it.
+                # The id is sent as a header to resume the stream after it.
                 raise broken(f"event with id {event.id!r}")
             if event.id and last and not follows(last, event.id):
                 self.doubted = self.count <= 1
@@ -128,7 +129,7 @@
         self.count += len(events)
 
     def go_on_from(self, last: str, count: int) -> None:
-        """Make ready to go on behind an event that another has read."""
+        """Resume after an event that another reader has received."""
         self.tail = b""
         self.last = last
         self.count = count
@@ -142,7 +143,9 @@
 
 
 def follows(before: str, after: str) -> bool:
-    """Return whether an id comes right after another.
+    """Return whether an id may come directly after another.
+
+    Ids that are not both decimal need only differ.
 
     >>> follows("3", "4"), follows("3", "5"), follows("a", "b")
     (True, False, True)
@@ -153,5 +156,5 @@
 
 
 def broken(message: str) -> errors.UpstreamGarbled:
-    """Return the error of a stream that cannot be trusted."""
+    """Return the error for an invalid stream."""
     return errors.UpstreamGarbled(message, ran=True, step="stream")
--- a/tests/test_eventstream.py
+++ b/tests/test_eventstream.py
@@ -1,4 +1,4 @@
-"""Streams cut into whole events, also over the break of an engine."""
+"""Tests of cutting streams into complete events, also across engines."""
 
 import pytest
 
@@ -21,8 +21,8 @@
 
 
 def test_a_stream_goes_on_behind_the_last_whole_event():
-    # An engine breaks off in the middle of event 3; another goes on after
-    # event 2. The caller must see 3 once and whole.
+    # An engine fails within event 3, and another resumes after event 2. The
+    # caller must see event 3 once and complete.
     reader = eventstream.EventReader()
     seen = reader.feed(event(1) + event(2) + event(3)[:5])
     reader.restart()
@@ -40,7 +40,7 @@
 
 
 def test_a_fault_behind_good_events_takes_none_of_them():
-    # Counted but not passed on, they would be missing for ever.
+    # If counted but not sent to the caller, they would be lost.
     reader = eventstream.EventReader()
     reader.feed(event(1))
     with pytest.raises(errors.UpstreamBroken):
