--- a/camphortray/opaque.py
+++ b/camphortray/opaque.py
@@ -1,4 +1,4 @@
-"""A request whose protocol is not known: bytes on their way to an engine."""
+"""Requests that are forwarded to an engine without parsing their body."""
 
 __all__ = ["OpaqueRequest"]
 
@@ -12,19 +12,19 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class OpaqueRequest:
-    """What a caller sent, with what its route says of it.
+    """A caller's request and its route.
 
     Attributes:
-      id: Of this attempt of the caller; engines echo it.
-      route: Where it goes and what may be repeated.
+      id: Id of this attempt of the caller; engines echo it.
+      route: The route; says where it goes and whether it is repeatable.
       method: HTTP method.
       target: Path and query.
-      headers: The caller's headers that travel on.
-      body: As sent.
-      arrived_at: Monotonic seconds.
-      deadline_at: When the caller, or the operator, gives up waiting.
-      prefix: Tells the leading parts of the prompt; empty if not known.
-      key_hash: Of the key that the caller shows; empty if it shows none.
+      headers: The caller's headers to forward.
+      body: Body as received.
+      arrived_at: Arrival, in monotonic seconds.
+      deadline_at: Deadline of the caller or the route, in monotonic seconds.
+      prefix: Identifies the leading parts of the prompt; empty if unknown.
+      key_hash: Hash of the caller's key; empty if it sent none.
     """
 
     id: str
@@ -40,7 +40,7 @@
 
     @property
     def fingerprint(self) -> str:
-        """What stays when a caller sends the same once more."""
+        """Digest of target and body, equal for repeats of a request."""
         digest = xxhash.xxh3_128(self.target.encode())
         digest.update(self.body)
         return digest.hexdigest()
@@ -48,7 +48,14 @@
     def for_engine(
         self, now: float, resume_after: str, silence_s: float, workspace: str
     ) -> engine.EngineRequest:
-        """Return what is sent to an engine now, on behalf of a workspace."""
+        """Return the request to send to an engine.
+
+        Args:
+          now: Monotonic seconds.
+          resume_after: Id of the last event received; empty for none.
+          silence_s: See ``EngineRequest``; 0 for no limit.
+          workspace: Workspace that the request runs for.
+        """
         return engine.EngineRequest(
             self.id,
             self.target,
