--- a/camphortray/signals.py
+++ b/camphortray/signals.py
@@ -1,4 +1,4 @@
-"""What requests go through, told as it happens to whoever steers by it."""
+"""Notifies listeners of the progress of requests."""
 
 __all__ = ["Listener", "Signals"]
 
@@ -8,41 +8,41 @@
 
 
 class Listener:
-    """Takes signals; each call is short, as it is on the hot path.
+    """Receives signals; calls are on the hot path and must be short.
 
-    ``service`` and ``upstream`` are names, ``batch`` tells batch work
-    from online work, times are in seconds.
+    ``service`` and ``upstream`` are names, ``batch`` is true for batch work
+    and false for online work, and times are in seconds.
     """
 
     def begun(self, service: str, upstream: str, batch: bool) -> None:
-        """Take note: a request was sent to an upstream."""
+        """Handle that a request was sent to an upstream."""
 
     def first_token(
         self, service: str, upstream: str, batch: bool, seconds: float
     ) -> None:
-        """Take note: the first token came, so long after ``begun``."""
+        """Handle the first token, ``seconds`` after ``begun``."""
 
     def next_token(
         self, service: str, upstream: str, batch: bool, seconds: float
     ) -> None:
-        """Take note: another token came, so long after the one before."""
+        """Handle another token, ``seconds`` after the one before."""
 
     def ended(
         self, service: str, upstream: str, batch: bool, good: bool
     ) -> None:
-        """Take note: the request left the upstream."""
+        """Handle the end of a request at an upstream; ``good`` on success."""
 
     def answered(self, service: str, batch: bool, good: bool) -> None:
-        """Take note: a request has ended for whoever asked.
+        """Handle the end of a request for its caller.
 
-        ``good`` says whether it was answered in full. A request refused
-        for its own fault is not told.
+        ``good`` is true if it was answered in full. A request refused as
+        invalid is not signalled.
         """
 
 
 @kernel.PARTS.register("entry", "batch")
 class Signals(kernel.Part):
-    """Passes signals on to all listeners.
+    """Sends each signal to all listeners.
 
     Attributes:
       listeners: Called in order of addition.
@@ -58,7 +58,7 @@
         return cls()
 
     def add(self, listener: Listener) -> None:
-        """Let a listener hear all signals from now on."""
+        """Add a listener; it receives all later signals."""
         self.listeners.append(listener)
 
     def begun(self, service: str, upstream: str, batch: bool) -> None:
