--- a/camphortray/deadline.py
+++ b/camphortray/deadline.py
@@ -1,4 +1,4 @@
-"""The time a caller leaves for its answer."""
+"""Deadlines of requests, as set by callers."""
 
 __all__ = ["HEADER", "from_headers", "passed"]
 
@@ -8,8 +8,8 @@
 from camphortray import errors
 
 HEADER = "camphortray-deadline"
-# Longest time that a caller may ask for, in seconds; a request without
-# an end would hold its place in every queue.
+# Longest time that a caller may ask for, in seconds. A request without a
+# deadline would keep its place in every queue.
 MAX_S = 3600.0
 
 
@@ -17,11 +17,11 @@
     """Return the seconds left for a request.
 
     Args:
-      headers: Of the request, lower-case names.
-      default_s: Where the caller says nothing.
+      headers: Headers of the request, with lower-case names.
+      default_s: Result if the caller sets no deadline.
 
     Raises:
-      Refused: the header cannot be read, or the time is over.
+      Refused: the header is not a number, or the deadline has passed.
     """
     text = headers.get(HEADER)
     if text is None:
@@ -43,5 +43,5 @@
 
 
 def passed(ran: str) -> errors.Refused:
-    """Return the refusal of a request whose time is over."""
+    """Return the refusal of a request whose deadline has passed."""
     return errors.Refused(504, "deadline", "the deadline passed", ran=ran)
