--- a/camphortray/keyring.py
+++ b/camphortray/keyring.py
@@ -1,4 +1,4 @@
-"""Whose key a caller shows; keys themselves are never kept."""
+"""Finds the holder of a key by its hash; keys themselves are not stored."""
 
 __all__ = ["Keyring", "hash_key"]
 
@@ -7,7 +7,7 @@
 
 
 def hash_key(secret: str) -> str:
-    """Return the hash under which a caller's key is known.
+    """Return the SHA-256 hash of a caller's key, in hexadecimal.
 
     >>> hash_key("k")[:8]
     '8254c329'
@@ -16,22 +16,22 @@
 
 
 class Keyring:
-    """Finds who holds a key.
+    """Maps hashes of keys to the names of their holders.
 
     Attributes:
-      holders: Names by hash of a key.
+      holders: Names of holders by hash of the key.
     """
 
     def __init__(self) -> None:
         self.holders: dict[str, str] = {}
 
     def add(self, holder: str, hashes: Iterable[str]) -> None:
-        """Add the keys of a holder; a key listed twice is the last one's."""
+        """Add the keys of a holder, replacing earlier holders of them."""
         for hashed in hashes:
             self.holders[hashed] = holder
 
     def holder(self, hashed: str) -> str | None:
-        """Return who holds the key with a hash, or None if nobody does.
+        """Return the holder of the key with a hash, or None.
 
         >>> ring = Keyring()
         >>> ring.add("home-1", [hash_key("k")])
