--- a/camphortray/forward.py
+++ b/camphortray/forward.py
@@ -1,4 +1,4 @@
-"""Hands a caller's request on to another program of ours, both ways."""
+"""Forwards a caller's request to another host or program of Camphortray."""
 
 __all__ = ["Forwarder", "copy", "has_body"]
 
@@ -7,7 +7,7 @@
 from camphortray import httpclient
 from camphortray import web
 
-# Headers that belong to one connection and are not passed on.
+# Headers that belong to one connection and are not forwarded.
 HOP_HEADERS = frozenset(
     {
         "authorization",
@@ -22,19 +22,19 @@
         "upgrade",
     }
 )
-# Set on a request that was handed on once; it is not handed on again, so
-# that two hosts that take each other for the owner cannot pass it forever.
+# Marks a forwarded request, which is not forwarded again; else two hosts
+# that take each other for the owner would forward it in a loop.
 HOP = "camphortray-hop"
-# Set anew for each hop; a second value would be joined to the first, and
-# the call would appear to come from another workspace.
+# Replaced on each hop. A second value would be joined to the first, and the
+# call would appear to come from another workspace.
 OWN_HEADERS = frozenset({HOP, web.HOST_KEY_HEADER, web.WORKSPACE_HEADER})
-# Largest body that is read before it is known who answers, in bytes.
+# Largest body that is read to find out which host answers, in bytes.
 MAX_SMALL_BYTES = 65_536
 TIMEOUTS = httpclient.Timeouts(1.0, 120.0, 120.0)
 
 
 class Forwarder:
-    """Streams requests on; nothing is held whole."""
+    """Forwards requests as streams, without buffering whole bodies."""
 
     def __init__(self, config: configs.Config) -> None:
         self.config = config
@@ -43,12 +43,12 @@
     async def pass_on(
         self, call: web.Call, to: configs.Address, read: bytes | None = None
     ) -> None:
-        """Hand a call on and its answer back.
+        """Forward a call and return its answer to the caller.
 
         Args:
           call: The call.
           to: Address of the other program's HTTP port.
-          read: Its body, if that has been read.
+          read: Body of the call, if it has been read.
 
         Raises:
           Refused: the other program cannot be reached.
@@ -80,19 +80,19 @@
         await copy(call, answer)
 
     async def close(self) -> None:
-        """Drop all connections."""
+        """Close all connections."""
         await self.client.close()
 
 
 async def copy(call: web.Call, answer: httpclient.ClientResponse) -> None:
-    """Copy an answer to the caller; one cut off stays cut off."""
+    """Copy an answer to the caller, aborting it if it was cut off."""
     try:
-        kept = [
+        headers = [
             (name, value)
             for name, value in answer.headers.items()
             if name not in HOP_HEADERS and name != "x-request-id"
         ]
-        call.response.start(answer.status, kept)
+        call.response.start(answer.status, headers)
         while data := await answer.read():
             call.response.write(data)
             await call.response.flush()
@@ -104,6 +104,6 @@
 
 
 def has_body(headers: dict[str, str]) -> bool:
-    """Return whether a request announces a body."""
+    """Return whether the headers of a request announce a body."""
     length = headers.get("content-length", "0")
     return "transfer-encoding" in headers or length != "0"
