--- a/camphortray/access.py
+++ b/camphortray/access.py
@@ -1,6 +1,6 @@
-"""Decides on whose behalf a request runs, by the key that its caller shows."""
+"""Finds the workspace that a request runs for, by its caller's key."""
 
-__all__ = ["AccessControl", "Caller", "NOBODY"]
+__all__ = ["ANONYMOUS", "AccessControl", "Caller"]
 
 from collections.abc import Iterable
 import dataclasses
@@ -12,11 +12,11 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Caller:
-    """On whose behalf a request runs.
+    """The caller that a request runs for.
 
     Attributes:
-      workspace: Its name; empty where no key is needed.
-      revision: Version of the configuration that says so.
+      workspace: Name of its workspace; empty where no key is needed.
+      revision: Version of the configuration that it was looked up in.
       priority: Rank of its online requests; None for that of the route.
     """
 
@@ -34,42 +34,44 @@
         return route.priority if self.priority is None else self.priority
 
 
-NOBODY = Caller()
+ANONYMOUS = Caller()
 
 
 class AccessControl:
     """Workspaces and their keys under one version of the configuration.
 
     Attributes:
-      revision: The version.
-      needs_key: Whether callers show keys at all.
-      callers: By name of their workspace.
+      revision: Version of the configuration.
+      needs_key: Whether callers need a key, save on anonymous routes.
+      anonymous: The caller of a request that needs no key.
+      callers: Callers by name of their workspace.
+      keys: Workspace names by key.
     """
 
     def __init__(self, view: routemap.Configuration) -> None:
         self.revision = view.revision
         self.needs_key = view.workspaces is not None
-        self.nobody = Caller(revision=view.revision)
+        self.anonymous = Caller(revision=view.revision)
         self.callers: dict[str, Caller] = {}
         self.keys = keyring.Keyring()
-        for held in view.workspaces or ():
-            self.keys.add(held.name, held.key_hashes)
-            self.callers[held.name] = Caller(
-                held.name, view.revision, held.priority
+        for workspace in view.workspaces or ():
+            self.keys.add(workspace.name, workspace.key_hashes)
+            self.callers[workspace.name] = Caller(
+                workspace.name, view.revision, workspace.priority
             )
 
     def admit(self, route: routemap.Route, key_hash: str) -> Caller:
-        """Return on whose behalf a request runs.
+        """Return the caller that a request runs for.
 
         Args:
-          route: Where it goes.
-          key_hash: Of the key that it shows; empty if it shows none.
+          route: Route of the request.
+          key_hash: Hash of the caller's key; empty if it sent none.
 
         Raises:
-          Refused: no workspace holds its key.
+          Refused: the key belongs to no workspace.
         """
         if not self.needs_key or route.anonymous:
-            return self.nobody
+            return self.anonymous
         return self.holder(key_hash)
 
     def admit_job_call(
@@ -80,11 +82,11 @@
         A call on a job that was accepted earlier names no route.
 
         Args:
-          routes: Those of the host name that it was sent to.
+          routes: Routes of the host name that it was sent to.
           key_hash: As for ``admit``.
 
         Raises:
-          Refused: no workspace holds its key.
+          Refused: the key belongs to no workspace.
         """
         if not self.needs_key:
             return None
@@ -99,10 +101,10 @@
             raise
 
     def holder(self, key_hash: str) -> Caller:
-        """Return who holds a key.
+        """Return the caller to whose workspace a key belongs.
 
         Raises:
-          Refused: nobody does.
+          Refused: the key belongs to no workspace.
         """
         name = self.keys.holder(key_hash)
         if name is None:
--- a/camphortray/forwarder.py
+++ b/camphortray/forwarder.py
@@ -130,7 +130,7 @@
         super().__init__(response, self.reader, True)
         self.parts = parts
         self.request = request
-        self.caller = access.NOBODY
+        self.caller = access.ANONYMOUS
         self.answer: Answer | None = None
         self.engine = ""
         self.coordinator = ""
--- a/tests/test_access.py
+++ b/tests/test_access.py
@@ -1,4 +1,4 @@
-"""Who may call, as keys are added, moved, revoked and given back."""
+"""Tests of who may call while keys are added, moved and revoked."""
 
 import asyncio
 import collections
@@ -31,7 +31,7 @@
 
 
 def control(workspaces, **route_fields):
-    """Return the access under a configuration, and a route of it."""
+    """Return the access control of a configuration, and its route."""
     route = routemap.Route(
         "r", "h", "/", routemap.Kind.BATCH, (), **route_fields
     )
@@ -53,36 +53,42 @@
         ((HOME,), True, "", "", ""),
         ((HOME,), True, WRONG, "", ""),
         ((HOME,), True, RIGHT, "", "home"),
-        # A workspace whose keys are all revoked, and none at all.
+        # A workspace whose keys are all revoked, and no workspace at all.
         ((routemap.Workspace("home"),), False, RIGHT, 401, 401),
         ((), False, RIGHT, 401, 401),
     ],
 )
-def test_who_a_key_lets_in(workspaces, anonymous, key, caller, jobs_of):
-    held, route = control(workspaces, anonymous=anonymous)
+def test_which_workspace_a_key_admits(
+    workspaces, anonymous, key, caller, jobs_of
+):
+    access_control, route = control(workspaces, anonymous=anonymous)
     hashed = keyring.hash_key(key) if key else ""
 
-    def told(work):
+    def result_of(call):
         try:
-            return work()
+            return call()
         except errors.Refused as refusal:
             return refusal.status
 
-    assert told(lambda: held.admit(route, hashed).workspace) == caller
-    assert told(lambda: held.admit_job_call([route], hashed)) == jobs_of
+    assert (
+        result_of(lambda: access_control.admit(route, hashed).workspace)
+        == caller
+    )
+    assert (
+        result_of(lambda: access_control.admit_job_call([route], hashed))
+        == jobs_of
+    )
 
 
 @pytest.mark.parametrize(("priority", "rank"), [(None, 3), (0, 0), (5, 5)])
-def test_the_priority_of_a_workspace_goes_before_that_of_a_route(
-    priority, rank
-):
+def test_the_priority_of_a_workspace_overrides_that_of_a_route(priority, rank):
     workspace = routemap.Workspace("home", HOME.key_hashes, priority)
-    held, route = control((workspace,), priority=3)
-    assert held.admit(route, HOME.key_hashes[0]).rank(route) == rank
+    access_control, route = control((workspace,), priority=3)
+    assert access_control.admit(route, HOME.key_hashes[0]).rank(route) == rank
 
 
 def live_config(clock):
-    """Return the configuration in force of a host that is in touch."""
+    """Return the active configuration of a host that reaches the ledger."""
     part = active_config.ActiveConfig.__new__(active_config.ActiveConfig)
     part.clock = clock
     part.context = types.SimpleNamespace(metrics=metrics.Metrics())
@@ -96,20 +102,20 @@
     return part
 
 
-def written(version, held):
-    """Return the record of a configuration, from keys by workspace."""
+def record_of(version, keys_by_workspace):
+    """Return the ledger record of a configuration."""
     text = platformkit.configuration(
         version,
         [platformkit.route("r", "/p/", "streaming", resumable=True)],
         platformkit.tenants(
-            **{name: sorted(keys) for name, keys in held.items()}
+            **{name: sorted(keys) for name, keys in keys_by_workspace.items()}
         ),
     )
     return ledger.LedgerRecord("config", json.dumps(text).encode())
 
 
 class Clock:
-    """A clock moved by hand."""
+    """A clock that is set by the test."""
 
     now = 100.0
 
@@ -118,7 +124,7 @@
 
 
 def outcome_of(part, key):
-    """Return the workspace that a key gives, or the code of a refusal."""
+    """Return the workspace that a key admits, or the code of a refusal."""
     (route,) = part.view.routes
     try:
         return part.admit(route, keyring.hash_key(key)).workspace
@@ -131,32 +137,32 @@
     [
         (100.0, -1.0, "bad_key", "home"),
         (90.0, 99.5, "bad_key", "home"),
-        # A key added since would be turned away for good with 401.
+        # 401 would refuse for good a key that was added in the meantime.
         (90.0, -1.0, "not_in_touch", "home"),
         (90.0, 98.0, "not_in_touch", "home"),
     ],
 )
-def test_a_host_out_of_touch_denies_no_key_for_good(
+def test_a_host_out_of_touch_refuses_unknown_keys_only_for_now(
     reached, peer_reached, added, kept
 ):
     part = live_config(Clock())
-    part.take_record(written(3, {"home": {RIGHT}}))
+    part.take_record(record_of(3, {"home": {RIGHT}}))
     part.reached_at, part.peer_reached_at = reached, peer_reached
     assert (outcome_of(part, WRONG), outcome_of(part, RIGHT)) == (added, kept)
 
 
 def test_a_host_out_of_touch_hears_of_a_revoked_key_from_a_peer():
     part = live_config(Clock())
-    part.take_record(written(3, {"home": {RIGHT}, "away": set()}))
+    part.take_record(record_of(3, {"home": {RIGHT}, "away": set()}))
     part.reached_at = 90.0
-    newer = written(5, {"home": set(), "away": {WRONG}})
+    newer = record_of(5, {"home": set(), "away": {WRONG}})
     part.take_answer(
         active_config.ActiveConfigAnswer(newer.key, newer.value, fresh=True)
     )
     assert outcome_of(part, RIGHT) == "bad_key"
     assert outcome_of(part, WRONG) == "away"
-    # A peer that is behind brings no key back.
-    older = written(4, {"home": {RIGHT}})
+    # An older configuration from a peer does not restore a key.
+    older = record_of(4, {"home": {RIGHT}})
     part.take_answer(
         active_config.ActiveConfigAnswer(older.key, older.value, fresh=True)
     )
@@ -165,7 +171,7 @@
 
 @pytest.fixture
 def lines():
-    """Return the JSON lines that are logged."""
+    """Return a function that gives the JSON lines logged so far."""
     stream = io.StringIO()
     handler = logs.set_up("json", "DEBUG", stream)
     yield lambda: stream.getvalue().splitlines()
@@ -174,9 +180,9 @@
 
 def test_a_refusal_for_a_key_is_logged_with_its_version_and_no_key(lines):
     part = live_config(Clock())
-    part.take_record(written(3, {"home": {RIGHT}}))
+    part.take_record(record_of(3, {"home": {RIGHT}}))
     assert outcome_of(part, WRONG) == "bad_key"
-    (line,) = [found for found in lines() if "refused with 401" in found]
+    (line,) = [entry for entry in lines() if "refused with 401" in entry]
     assert '"revision": 3' in line
     logged = "".join(lines())
     for key in (WRONG, RIGHT):
@@ -184,7 +190,7 @@
         assert keyring.hash_key(key) not in logged
 
 
-# Days of changes, in virtual time.
+# Simulated days of key changes, in virtual time.
 
 DAY_S = 40.0
 KEYS = tuple(f"key-{n}" for n in range(6))
@@ -195,10 +201,11 @@
     """An operator changes keys while requests wait, stream and are retried.
 
     Attributes:
-      holders: Holder of each key that has one.
-      held: Times and holders by key, oldest first.
+      holders: Workspace of each key that has one.
+      held: Times and workspaces by key, oldest first.
       runs: Times and workspaces of each request at its engines.
-      ends: Status that each request ended with.
+      ends: Status of each request.
+      keys: Key and time of each request.
     """
 
     def __init__(self, seed):
@@ -214,26 +221,26 @@
         self.put()
 
     def put(self):
-        """Put the present holders in force."""
+        """Apply a configuration with the present holders."""
         self.version += 1
-        found = {name: set() for name in WORKSPACES}
+        keys = {name: set() for name in WORKSPACES}
         for key, name in self.holders.items():
-            found[name].add(key)
-        self.config.take_record(written(self.version, found))
+            keys[name].add(key)
+        self.config.take_record(record_of(self.version, keys))
         now = self.clock.monotonic()
         for key in KEYS:
             self.held[key].append((now, self.holders.get(key)))
 
     def holder(self, key, at):
-        """Return who held a key at a moment."""
+        """Return the workspace that held a key at a time."""
         return [name for since, name in self.held[key] if since <= at][-1]
 
     async def operate(self):
-        """Add, move, revoke and give back keys."""
+        """Add, move, revoke and restore keys."""
         while self.clock.monotonic() < self.end_at:
             await asyncio.sleep(self.rng.uniform(0.02, 0.8))
-            # Each change may leave a key with another, with none, or back
-            # with the one before.
+            # Each change may give a key to another workspace, to none, or
+            # back to the one before.
             for key in self.rng.sample(KEYS, self.rng.randint(1, 3)):
                 self.holders.pop(key, None)
                 if self.rng.random() < 0.6:
@@ -270,7 +277,7 @@
         self.ends[name] = await test_forwarder.outcome(held)
 
     async def play(self):
-        """Play the day."""
+        """Run the day."""
         self.end_at = self.clock.monotonic() + DAY_S
         async with asyncio.TaskGroup() as group:
             group.create_task(self.operate())
@@ -283,7 +290,7 @@
 
 
 class DaySlots(hostkit.Slots):
-    """Slots that are waited for."""
+    """Slots that are granted after a random wait."""
 
     def __init__(self, rng):
         super().__init__()
@@ -295,7 +302,7 @@
 
 
 class DayEngines(hostkit.ScriptedEngines):
-    """Engines that are full, break off, or stream for a while."""
+    """Engines that refuse as full, fail within a stream, or complete it."""
 
     def __init__(self, day, key):
         super().__init__([])
@@ -310,9 +317,9 @@
         rng = self.day.rng
         if rng.random() < 0.3:
             raise hostkit.FULL
-        told = [value for name, value in sent if name.lower() == "tenant"]
+        tenants = [value for name, value in sent if name.lower() == "tenant"]
         now = self.day.clock.monotonic()
-        self.day.runs[request.id].append((now, told[0]))
+        self.day.runs[request.id].append((now, tenants[0]))
         first = int(request.resume_after or 0) + 1
         chunks = hostkit.events(first, 4)
         if rng.random() < 0.3:
@@ -345,8 +352,9 @@
         if runs:
             begun_at, workspace = runs[0]
             assert workspace == day.holder(key, begun_at)
-            # One answer is one workspace's, whoever holds the key later.
-            assert {told for _, told in runs} == {workspace}
+            # All runs of a request are for one workspace, also if its key
+            # moves to another meanwhile.
+            assert {name for _, name in runs} == {workspace}
     statuses = collections.Counter(day.ends.values())
     late = [
         name
