--- a/tests/test_answer_cut.py
+++ b/tests/test_answer_cut.py
@@ -1,4 +1,4 @@
-"""Answers while this process, and its engines with it, stand still."""
+"""Tests of answers while this process, or its engines too, are paused."""
 
 import asyncio
 import dataclasses
@@ -21,19 +21,20 @@
 
 EVENTS = 6
 WHOLE = b"".join(hostkit.events(1, EVENTS))
-# First event in 0.6 s, then one each 0.25 s, or another engine is tried.
+# Another engine is tried if the first event takes over 0.6 s, or a later one
+# over 0.25 s.
 ROUTE = dataclasses.replace(hostkit.RESUMABLE, objective_s=0.3)
 
 
 class Clock:
-    """The loop's own clock."""
+    """The clock of the event loop."""
 
     def monotonic(self):
         return asyncio.get_running_loop().time()
 
 
 class Slots(hostkit.Slots):
-    """Slots at engines of the loop, the same one again if need be."""
+    """Grants slots at the loop's engines, reusing one if all are avoided."""
 
     async def acquire(self, service, want, on_revoke=None):
         free = [name for name in self.names if name not in want.avoid]
@@ -43,14 +44,14 @@
         return lease_table.HeldLease(want, service, upstream, 0.0, on_revoke)
 
 
-async def ask(loop, held, route):
+async def ask(loop, loop_engines, route):
     """Send a request to engines; return its forwarder and the status."""
-    loop.engines = dict(enumerate(held, 1))
+    loop.engines = dict(enumerate(loop_engines, 1))
     parts = forwarder.ForwarderParts(
         Clock(),
         hostkit.Parties(engines.PlatformEngine()),
         hostkit.ActiveConfig([route]),
-        Slots(len(held)),
+        Slots(len(loop_engines)),
         hostkit.CrashReports(),
         metrics.Metrics(),
     )
@@ -61,42 +62,44 @@
     return sent, await test_forwarder.outcome(sent)
 
 
-def play(pauses, gaps, shared=True, close_after=(None, None), route=ROUTE):
-    """Send a request to two engines while the process stands still.
+def request_with_pauses(
+    pauses, gaps, shared=True, close_after=(None, None), route=ROUTE
+):
+    """Send a request to two engines while the process is paused.
 
     Args:
-      pauses: Begin and length of each, in seconds.
-      gaps: Seconds before the head and before each event, of each engine.
-      shared: Whether engines stand still as well.
-      close_after: Events after which each engine closes.
-      route: Of the request.
+      pauses: Start and length of each pause, in seconds.
+      gaps: Seconds before the headers and before each event, of each engine.
+      shared: Whether engines are paused as well.
+      close_after: Events after which each engine closes the connection.
+      route: Route of the request.
     """
     loop = handclock.HandLoop(pauses, shared)
-    held = [
+    loop_engines = [
         handclock.Engine(loop, f"e{n}", gaps, close)
         for n, close in enumerate(close_after)
     ]
-    return handclock.run(ask(loop, held, route), loop)
+    return handclock.run(ask(loop, loop_engines, route), loop)
 
 
 def pauses(count, begin, gap, length):
-    """Return pauses one after the other."""
+    """Return pauses of equal length with equal gaps between them."""
     return [(begin + n * (gap + length), length) for n in range(count)]
 
 
-# Engines that keep to the limits of the route, some of them just so.
+# Engines that keep the limits of the route, some of them only just.
 PROMPT = (0.03, *[0.02] * EVENTS)
 SLOW_START = (0.5, *[0.05] * EVENTS)
 SLOW = (0.55, *[0.24] * EVENTS)
-# As slow as its operator has never seen: beyond the limits, well in time.
+# An engine that exceeds the limits, but answers well before the deadline.
 LATE = (0.7, *[0.05] * EVENTS)
 
 
 @pytest.mark.parametrize("gaps", [PROMPT, SLOW_START, SLOW, LATE])
 @pytest.mark.parametrize("shared", [False, True])
 @pytest.mark.parametrize("count", [0, 1, 2, 3])
-def test_no_pause_cuts_an_answer_off_whose_engine_goes_on(count, shared, gaps):
-    """Limits of silence on the last try cut off answers with time left."""
+def test_no_pause_cuts_off_an_answer_whose_engine_goes_on(count, shared, gaps):
+    """Silence limits on the last attempt cut off answers with time left."""
     cut = []
     begins = [step / 25 for step in range(40 if count else 1)]
     lengths = (0.04, 0.06, 0.1, 0.2, 0.6)
@@ -104,7 +107,7 @@
         begins, (0.01, 0.06, 0.2), lengths
     ):
         moments = pauses(count, begin, gap, length)
-        sent, status = play(moments, gaps, shared)
+        sent, status = request_with_pauses(moments, gaps, shared)
         if (status, sent.response.data) != (200, WHOLE):
             cut.append((status, sent.ran, moments))
     assert cut == []
@@ -113,12 +116,12 @@
 @pytest.mark.parametrize(
     ("gaps", "close_after", "max_attempts", "status", "causes"),
     [
-        # Cut off in the last try, by its engine.
+        # Cut off by its engine in the last attempt.
         (PROMPT, (3, 3), 1, 0, {"closed": 1}),
         (PROMPT, (2, 4), 2, 0, {"closed": 2}),
-        # Nothing had begun.
+        # Closed before the first event.
         (PROMPT, (0, 0), 2, 502, {"closed": 2}),
-        # Gone on with at the second engine.
+        # Resumed at the second engine.
         (PROMPT, (2, None), 2, 200, {"closed": 1}),
         (
             (0.03, 0.02, 0.02, 0.4, 0.02, 0.02, 0.02),
@@ -127,16 +130,18 @@
             200,
             {"silence": 1},
         ),
-        # Its time is over.
+        # The deadline passes.
         ((0.03, 0.02, *[9.0] * 5), (None, None), 2, 0, {"silence": 1}),
     ],
 )
-def test_each_way_in_which_an_answer_ends_early_is_counted(
+def test_each_cause_of_an_early_end_is_counted(
     gaps, close_after, max_attempts, status, causes
 ):
     route = dataclasses.replace(ROUTE, max_attempts=max_attempts)
-    sent, found = play([], gaps, False, close_after, route)
-    assert found == status
+    sent, actual_status = request_with_pauses(
+        [], gaps, False, close_after, route
+    )
+    assert actual_status == status
     text = sent.parts.metrics.render()[0].decode()
     for cause, count in causes.items():
         line = (
@@ -173,20 +178,20 @@
     ("moments", "paused_ms"),
     [([], 0), ([(0.2, 0.3)], 300), (pauses(2, 0.1, 0.06, 0.2), 400)],
 )
-def test_pauses_since_the_last_byte_are_told_of_a_silence(moments, paused_ms):
+def test_a_time_out_reports_pauses_since_the_last_byte(moments, paused_ms):
     # The first engine is silent after one event.
     gaps = (0.03, 0.02, *[9.0] * 5)
     loop = handclock.HandLoop(moments)
-    held = [handclock.Engine(loop, f"e{n}", gaps) for n in range(2)]
+    loop_engines = [handclock.Engine(loop, f"e{n}", gaps) for n in range(2)]
     seen = []
 
-    def go_on(self, tried, error):
+    def go_on(self, attempt, error):
         seen.append(early_end.fields_of(error))
         return False
 
     with pytest.MonkeyPatch.context() as patch:
         patch.setattr(forwarder.Forwarder, "go_on", go_on)
-        handclock.run(ask(loop, held, ROUTE), loop)
+        handclock.run(ask(loop, loop_engines, ROUTE), loop)
     assert [fields["cause"] for fields in seen] == ["silence"]
-    # A check notices a pause from its own time on.
+    # A pause counts from the time at which the check that it delays was due.
     assert seen[0]["paused_ms"] == pytest.approx(paused_ms, abs=130)
