--- a/tests/test_access.py
+++ b/tests/test_access.py
@@ -354,7 +354,7 @@
             assert workspace == day.holder(key, begun_at)
             # All runs of a request are for one workspace, also if its key
             # moves to another meanwhile.
-            assert {name for _, name in runs} == {workspace}
+            assert {tenant for _, tenant in runs} == {workspace}
     statuses = collections.Counter(day.ends.values())
     late = [
         name
