--- a/camphortray/completing.py
+++ b/camphortray/completing.py
@@ -209,7 +209,7 @@
 
     # What follows on a failure.
 
-    def go_on(
+    def handle_failure(
         self, held: proxy_exchange.Try, error: errors.UpstreamError
     ) -> bool:
         LOG.warning("Try {} failed: {}", self.tries, error)
--- a/camphortray/forwarder.py
+++ b/camphortray/forwarder.py
@@ -336,7 +336,7 @@
             self.give_up(502, "upstream_failed", str(error), None, cause)
         self.give_up(503, "busy", str(error), error.retry_after_s, cause)
 
-    def go_on(
+    def handle_failure(
         self, attempt: proxy_exchange.Try, error: errors.UpstreamError
     ) -> bool:
         name = attempt.upstream.name
--- a/camphortray/proxy_exchange.py
+++ b/camphortray/proxy_exchange.py
@@ -93,7 +93,9 @@
         """Return the request to send to the engine of an attempt."""
 
     @abc.abstractmethod
-    def go_on(self, attempt: Try, error: errors.UpstreamError) -> bool:
+    def handle_failure(
+        self, attempt: Try, error: errors.UpstreamError
+    ) -> bool:
         """Handle a failed attempt; return whether another one follows.
 
         Raises:
@@ -146,7 +148,7 @@
             try:
                 await self.run_attempt(attempt)
             except errors.UpstreamError as error:
-                if not self.go_on(attempt, error):
+                if not self.handle_failure(attempt, error):
                     return
             else:
                 self.on_answered()
--- a/tests/test_answer_cut.py
+++ b/tests/test_answer_cut.py
@@ -185,12 +185,12 @@
     loop_engines = [handclock.Engine(loop, f"e{n}", gaps) for n in range(2)]
     seen = []
 
-    def go_on(self, attempt, error):
+    def handle_failure(self, attempt, error):
         seen.append(early_end.fields_of(error))
         return False
 
     with pytest.MonkeyPatch.context() as patch:
-        patch.setattr(forwarder.Forwarder, "go_on", go_on)
+        patch.setattr(forwarder.Forwarder, "handle_failure", handle_failure)
         handclock.run(ask(loop, loop_engines, ROUTE), loop)
     assert [fields["cause"] for fields in seen] == ["silence"]
     # A pause counts from the time at which the check that it delays was due.
