--- a/camphortray/eventstream.py
+++ b/camphortray/eventstream.py
@@ -128,7 +128,7 @@
         self.last = last
         self.count += len(events)
 
-    def go_on_from(self, last: str, count: int) -> None:
+    def resume_after(self, last: str, count: int) -> None:
         """Resume after an event that another reader has received."""
         self.tail = b""
         self.last = last
--- a/camphortray/itemwork.py
+++ b/camphortray/itemwork.py
@@ -285,7 +285,7 @@
         """Resume from the output of the previous owner if that is longer."""
         if len(progress.text) <= self.reader.count:
             return
-        self.reader.go_on_from(progress.last, len(progress.text))
+        self.reader.resume_after(progress.last, len(progress.text))
         self.text = list(progress.text)
         # The present run is behind; the next one starts from here.
         self.revoke()
