--- a/camphortray/eventstream.py
+++ b/camphortray/eventstream.py
@@ -87,15 +87,15 @@
       tail: Bytes of the event that is not yet complete.
       last: Id of the last complete event, over all engines.
       count: Number of complete events.
-      doubted: Whether the second event was out of order, so that either of
-        the two may have the wrong id.
+      order_ambiguous: Whether the second event was out of order, so that
+        either of the two may have the wrong id.
     """
 
     def __init__(self) -> None:
         self.tail = b""
         self.last = ""
         self.count = 0
-        self.doubted = False
+        self.order_ambiguous = False
 
     def feed(self, data: bytes) -> bytes:
         data = self.tail + data
@@ -122,7 +122,7 @@
                 # The id is sent as a header to resume the stream after it.
                 raise broken(f"event with id {event.id!r}")
             if event.id and last and not follows(last, event.id):
-                self.doubted = self.count <= 1
+                self.order_ambiguous = self.count <= 1
                 raise broken(f"event {event.id!r} after {last!r}")
             last = event.id or last
         self.last = last
--- a/camphortray/itemwork.py
+++ b/camphortray/itemwork.py
@@ -399,7 +399,7 @@
           UpstreamError: the run failed, or its stream is incomplete.
         """
         plugin = self.parts.backends.engine(upstream.plugin)
-        if self.reader.doubted or not self.reader.last:
+        if self.reader.order_ambiguous or not self.reader.last:
             # There is no event to resume after: the engine starts at the
             # first one, and keeping the earlier events would repeat them.
             self.reader, self.text = eventstream.EventReader(), []
