--- a/camphortray/proxy_exchange.py
+++ b/camphortray/proxy_exchange.py
@@ -27,14 +27,14 @@
 
     Attributes:
       upstream: The engine.
-      party: Client of the engine.
+      client: Client of the engine.
     """
 
     def __init__(
-        self, upstream: engine.Upstream, party: engine.Engine
+        self, upstream: engine.Upstream, client: engine.Engine
     ) -> None:
         self.upstream = upstream
-        self.party = party
+        self.client = client
 
     def first(self) -> None:
         """Handle the arrival of the first bytes of a stream."""
@@ -167,7 +167,9 @@
             self.tried |= {attempt.upstream.name}
             # Assume that it may run until the engine shows that it did not.
             self.ran += 1
-            stream = await attempt.party.open(attempt.upstream, request, fresh)
+            stream = await attempt.client.open(
+                attempt.upstream, request, fresh
+            )
             try:
                 await self.pass_on(stream, attempt)
             finally:
--- a/camphortray/routedtry.py
+++ b/camphortray/routedtry.py
@@ -155,7 +155,7 @@
         that when the network drops packets.
         """
         try:
-            await self.party.cancel(self.upstream, self.id)
+            await self.client.cancel(self.upstream, self.id)
         except errors.CamphortrayError as error:
             LOG.debug("Could not cancel the request at its engine: {}", error)
 
