--- a/camphortray/attempt.py
+++ b/camphortray/attempt.py
@@ -9,22 +9,22 @@
     """The append of one record, sent one or more times.
 
     Attributes:
-      maybe_taken: Whether the log may hold the record, or may yet receive
+      maybe_appended: Whether the log may hold the record, or may yet receive
         it by a request whose answer was lost.
       last: The last error, for error messages.
     """
 
     def __init__(self) -> None:
-        self.maybe_taken = False
+        self.maybe_appended = False
         self.last: errors.LogError | None = None
 
-    def on_taken(self) -> None:
+    def on_accepted(self) -> None:
         """Note that the log accepted it; only reading it back confirms it."""
-        self.maybe_taken = True
+        self.maybe_appended = True
 
-    def on_silence(self) -> None:
+    def on_timeout(self) -> None:
         """Note that the log did not answer in time."""
-        self.maybe_taken = True
+        self.maybe_appended = True
 
     def on_error(self, error: errors.LogError) -> None:
         """Note an error; only ``LogRefused`` means it was not appended.
@@ -34,11 +34,11 @@
         """
         self.last = error
         if not isinstance(error, errors.LogRefused):
-            self.maybe_taken = True
+            self.maybe_appended = True
 
-    def given_up(self, stream: str) -> errors.LogError:
+    def final_error(self, stream: str) -> errors.LogError:
         """Return the error to raise if the record was not read back."""
-        if self.maybe_taken:
+        if self.maybe_appended:
             return errors.AppendUnknown(
                 f"not read back in time: {self.last}",
                 step="append",
--- a/camphortray/journal.py
+++ b/camphortray/journal.py
@@ -396,9 +396,9 @@
             try:
                 async with timers.limit(left):
                     await self.send(self.stream, data)
-                tried.on_taken()
+                tried.on_accepted()
             except TimeoutError:
-                tried.on_silence()
+                tried.on_timeout()
             except errors.LogError as error:
                 tried.on_error(error)
                 wait_s = READ_BACK_S
@@ -411,7 +411,7 @@
                 break
         if waiter.done():
             return waiter.result()
-        raise tried.given_up(self.stream)
+        raise tried.final_error(self.stream)
 
     def refused(self, message: str) -> errors.LogRefused:
         """Return the error of a record that never reached the log."""
--- a/camphortray/partwriter.py
+++ b/camphortray/partwriter.py
@@ -228,7 +228,7 @@
         wait_s = self.answer_s * ANSWER_TIMES
         records: list[ledgers.LedgerRecord] = []
         while True:
-            if not tried.maybe_taken:
+            if not tried.maybe_appended:
                 records = made(taken)
                 if not records:
                     settle_all(taken)
@@ -244,7 +244,7 @@
                 self.fenced(taken, tried)
                 return False
             tried.on_error(error)
-            if tried.maybe_taken:
+            if tried.maybe_appended:
                 LOG.info("Append of {} unknown: {}", self.part, error)
                 wait_s *= 2
             else:
@@ -284,7 +284,7 @@
     def fenced(self, taken: list[Write], tried: attempt.Attempt) -> None:
         """End: another writer has taken over."""
         self.closed = True
-        if tried.maybe_taken:
+        if tried.maybe_appended:
             for write in taken:
                 settle(write, unknown("fenced off meanwhile"))
         why = "the partition has another owner"
--- a/spec/appends.py
+++ b/spec/appends.py
@@ -106,12 +106,12 @@
         steps = []
         for answer, error in ANSWERS:
             tried = attempt.Attempt()
-            tried.maybe_taken = state.maybe
+            tried.maybe_appended = state.maybe
             if error is not None:
                 tried.on_error(error)
             else:
-                tried.on_taken()
-            after = state._replace(maybe=tried.maybe_taken)
+                tried.on_accepted()
+            after = state._replace(maybe=tried.maybe_appended)
             if answer == "refused":
                 steps.append(("the log refuses", after))
             elif answer == "delayed":
@@ -122,8 +122,8 @@
         if self.counted(state.log, state.sequence) or data in state.log:
             steps.append(("read back", self.tell(state, "counted")))
         tried = attempt.Attempt()
-        tried.maybe_taken = state.maybe and "doubt" not in self.off
-        refused = isinstance(tried.given_up(""), errors.LogRefused)
+        tried.maybe_appended = state.maybe and "doubt" not in self.off
+        refused = isinstance(tried.final_error(""), errors.LogRefused)
         steps.append(
             ("give up", self.tell(state, "refused" if refused else "unknown"))
         )
--- a/spec/ledger.py
+++ b/spec/ledger.py
@@ -200,15 +200,15 @@
     def tried(self, host: Host, error: errors.LogError) -> Host:
         """Return what a host knows after a failed try."""
         tried = attempt.Attempt()
-        tried.maybe_taken = host.maybe
+        tried.maybe_appended = host.maybe
         tried.on_error(error)
-        return host._replace(maybe=tried.maybe_taken)
+        return host._replace(maybe=tried.maybe_appended)
 
     def tell(self, state: State, host: Host, sent: Append) -> State:
         """Tell the caller of a job that was not kept what is known."""
         tried = attempt.Attempt()
-        tried.maybe_taken = host.maybe and "doubt" not in self.off
-        certain = isinstance(tried.given_up(""), errors.LogRefused)
+        tried.maybe_appended = host.maybe and "doubt" not in self.off
+        certain = isinstance(tried.final_error(""), errors.LogRefused)
         if sent.pair == SUBMITTED and certain:
             return state._replace(refused=True)
         return state
