--- a/camphortray/forward.py
+++ b/camphortray/forward.py
@@ -24,12 +24,14 @@
 )
 # Marks a forwarded request, which is not forwarded again; else two hosts
 # that take each other for the owner would forward it in a loop.
-HOP = "camphortray-hop"
+FORWARDED_HEADER = "camphortray-hop"
 # Replaced on each hop. A second value would be joined to the first, and the
 # call would appear to come from another workspace.
-OWN_HEADERS = frozenset({HOP, web.HOST_KEY_HEADER, web.WORKSPACE_HEADER})
+OWN_HEADERS = frozenset(
+    {FORWARDED_HEADER, web.HOST_KEY_HEADER, web.WORKSPACE_HEADER}
+)
 # Largest body that is read to find out which host answers, in bytes.
-MAX_SMALL_BYTES = 65_536
+MAX_SMALL_BODY_BYTES = 65_536
 TIMEOUTS = httpclient.Timeouts(1.0, 120.0, 120.0)
 
 
@@ -60,7 +62,7 @@
             if name not in HOP_HEADERS and name not in OWN_HEADERS
         ]
         headers += web.host_headers(self.config, call.caller)
-        headers.append((HOP, "1"))
+        headers.append((FORWARDED_HEADER, "1"))
         limit = self.config.batch.max_job_bytes
         body: httpclient.Body = read or b""
         if read is None and has_body(request.headers):
--- a/camphortray/jobcalls.py
+++ b/camphortray/jobcalls.py
@@ -124,7 +124,7 @@
         Raises:
           Refused: it was handed on before, or the owner is not there.
         """
-        if forward.HOP in call.request.headers:
+        if forward.FORWARDED_HEADER in call.request.headers:
             raise errors.Refused(
                 503, "no_owner", "the shard changes hands", retry_after=1
             )
@@ -266,7 +266,7 @@
             if run is not None:
                 await run.cancel(name)
                 return True
-            if forward.HOP not in call.request.headers:
+            if forward.FORWARDED_HEADER not in call.request.headers:
                 try:
                     await self.to_owner(call, shard)
                     return False
--- a/camphortray/openai_batch.py
+++ b/camphortray/openai_batch.py
@@ -170,7 +170,7 @@
     Raises:
       Refused: a field is missing or wrong.
     """
-    data = await call.request.body(forward.MAX_SMALL_BYTES)
+    data = await call.request.body(forward.MAX_SMALL_BODY_BYTES)
     try:
         asked = msgspec.json.decode(data, type=BatchRequest)
     except (msgspec.MsgspecError, UnicodeDecodeError) as error:
