--- a/camphortray/completing.py
+++ b/camphortray/completing.py
@@ -221,7 +221,7 @@
 
     # Retry and resumption.
 
-    def go_on(
+    def handle_failure(
         self, held: proxy_exchange.Try, error: errors.UpstreamError
     ) -> bool:
         LOG.warning("Attempt {} failed: {}", self.tries, error)
--- a/camphortray/itemwork.py
+++ b/camphortray/itemwork.py
@@ -285,7 +285,7 @@
         """Resume from the output of the previous owner if that is longer."""
         if len(progress.text) <= self.reader.count:
             return
-        self.reader.go_on_from(progress.last, len(progress.text))
+        self.reader.resume_after(progress.last, len(progress.text))
         self.text = list(progress.text)
         # The present run is behind; the next one starts from here.
         self.revoke()
@@ -399,7 +399,7 @@
           UpstreamError: the run failed, or its stream is incomplete.
         """
         plugin = self.parts.backends.engine(upstream.plugin)
-        if self.reader.doubted or not self.reader.last:
+        if self.reader.order_ambiguous or not self.reader.last:
             # There is no event to resume after: the engine starts at the
             # first one, and keeping the earlier events would repeat them.
             self.reader, self.text = eventstream.EventReader(), []
