--- a/camphortray/partition_owner.py
+++ b/camphortray/partition_owner.py
@@ -1,4 +1,4 @@
-"""Owns one partition of jobs for one epoch: keeps them and runs items."""
+"""Owns one partition of jobs for one epoch: stores jobs, runs their items."""
 
 __all__ = ["PartitionOwner"]
 
@@ -20,26 +20,26 @@
 
 LOG = logs.logger("jobs")
 TOPIC = ledgers.Topic.JOBS
-# Pause after a failed try to take a partition over, in seconds.
-PAUSE_S = 0.1
-# Time in which a record must be kept before its caller gets an error.
-WRITE_S = 2.5
-# Time for a result, which waits for as long as the store is away.
-RESULT_S = 3600.0
-# Time for the tasks of items to end, in seconds; they only close connections.
-CLOSE_S = 2.0
-# Most bytes of results in one page.
-PAGE_BYTES = 500_000
-FORGET_EVERY_S = 5.0
-# Seconds from one look at what the open items wait for to the next.
-LOOK_EVERY_S = 1.0
-# Longest time for one call to the store during a takeover, or for one page of
-# a listing, in seconds. Each call has a limit of its own, well below; this one
-# sees to it that no takeover waits for ever, whatever comes between.
-CALL_S = 3.0
-# Takeovers in a row that may find a record unreadable before it is left out:
-# it may have been spoilt on its way.
-MOST_UNREADABLE = 5
+# Pause after a failed attempt to take over a partition.
+TAKEOVER_RETRY_S = 0.1
+# Time limit for storing a record; after that its caller gets an error.
+WRITE_TIMEOUT_S = 2.5
+# Time limit for storing a result, which waits while the store is unavailable.
+RESULT_TIMEOUT_S = 3600.0
+# Time limit for cancelled item tasks to end; they only close connections.
+CLOSE_TIMEOUT_S = 2.0
+# Limit on the results in one page, which always holds at least one.
+MAX_PAGE_BYTES = 500_000
+EXPIRY_INTERVAL_S = 5.0
+# Interval between checks for stalled items.
+STALL_CHECK_INTERVAL_S = 1.0
+# Time limit for one store call, or one page of a listing, during a takeover.
+# Each call has its own, much shorter limit; this one ensures that no takeover
+# waits forever, whatever else happens.
+STORE_CALL_TIMEOUT_S = 3.0
+# Consecutive takeovers that are retried because a record is unreadable, before
+# that record is skipped: it may have been corrupted in transit.
+MAX_UNREADABLE_TAKEOVERS = 5
 
 
 class PartitionOwner:
@@ -47,13 +47,14 @@
 
     Attributes:
       part: Number of the partition.
-      epoch: In which it is owned.
-      book: All its jobs.
-      ready: Set once all has been read.
-      begun_at: When the takeover began, monotonic.
-      lost: Whether another owner has taken over.
-      ending: Calls to end a job that wait or may have been kept, by job;
-        its items are not run meanwhile.
+      epoch: Epoch in which this host owns the partition.
+      book: All jobs of the partition.
+      ready: Set once all records have been read.
+      begun_at: Monotonic time at which the takeover began.
+      lost: Whether ownership has ended: another host has taken over, or
+        this owner was stopped.
+      ending: Number of calls to end a job that are pending or may have been
+        stored, by job id; items of these jobs are not run.
     """
 
     def __init__(
@@ -86,53 +87,59 @@
         self.ready = asyncio.Event()
         self.begun_at = parts.clock.monotonic()
         self.lost = False
-        self.unreadable = 0
+        self.unreadable_takeovers = 0
         self.ending: collections.Counter[str] = collections.Counter()
         self.items = item_reconciler.ItemReconciler(
-            parts, epoch, self.keep, self.ending
+            parts, epoch, self.store_result, self.ending
         )
         self.submits: dict[str, asyncio.Task[None]] = {}
-        self.news: dict[str, asyncio.Event] = {}
+        self.job_events: dict[str, asyncio.Event] = {}
         self.task: asyncio.Task[None] | None = None
 
-    # Taking over and giving up.
+    # Takeover and release.
 
     def start(self) -> None:
-        """Begin to take the partition over."""
+        """Start to take over the partition."""
         work = tasks.forever(f"owner of partition {self.part}", self.run)
         self.task = asyncio.get_running_loop().create_task(work)
 
     async def run(self) -> None:
-        """Take over, then forget old jobs now and then."""
+        """Take over, then restart stalled items and drop expired jobs."""
         while not self.ready.is_set() and not await self.take_over():
-            await asyncio.sleep(PAUSE_S)
-        forget_at = self.parts.clock.monotonic() + FORGET_EVERY_S
+            await asyncio.sleep(TAKEOVER_RETRY_S)
+        expire_at = self.parts.clock.monotonic() + EXPIRY_INTERVAL_S
         while not self.lost:
-            await asyncio.sleep(LOOK_EVERY_S)
+            await asyncio.sleep(STALL_CHECK_INTERVAL_S)
             self.items.restart_stalled()
-            if self.parts.clock.monotonic() >= forget_at:
-                forget_at += FORGET_EVERY_S
-                await self.forget_old()
+            if self.parts.clock.monotonic() >= expire_at:
+                expire_at += EXPIRY_INTERVAL_S
+                await self.delete_expired_jobs()
 
     async def take_over(self) -> bool:
-        """End older epochs, read all, and begin; return if that is done."""
+        """Fence off older epochs, read all records and start serving.
+
+        Returns:
+          Whether the takeover is over: done, or prevented by a newer owner.
+        """
         loop = asyncio.get_running_loop()
         try:
-            async with asyncio.timeout(CALL_S):
+            async with asyncio.timeout(STORE_CALL_TIMEOUT_S):
                 await self.ledger.set_epoch(TOPIC, self.part, self.epoch)
-            async with asyncio.timeout(CALL_S) as limit:
+            async with asyncio.timeout(STORE_CALL_TIMEOUT_S) as limit:
                 page = await self.ledger.newest(
                     TOPIC,
                     self.part,
-                    lambda: limit.reschedule(loop.time() + CALL_S),
+                    lambda: limit.reschedule(
+                        loop.time() + STORE_CALL_TIMEOUT_S
+                    ),
                 )
             self.book = partition_state.PartitionState()
             unreadable = self.load(page.records)
-            # No other can have added anything since the epoch was set,
-            # but the pages of a listing are no snapshot.
+            # No other host can have appended anything since the epoch was
+            # set, but a paged listing is not a consistent snapshot.
             end = page.end
             while True:
-                async with asyncio.timeout(CALL_S):
+                async with asyncio.timeout(STORE_CALL_TIMEOUT_S):
                     more = await self.ledger.read(TOPIC, self.part, end)
                 unreadable += self.load(more.records)
                 end += len(more.records)
@@ -144,27 +151,35 @@
         except errors.LogTruncated:
             return False
         except (errors.LogError, TimeoutError) as error:
-            LOG.info("Partition {} not taken over yet: {!r}", self.part, error)
+            LOG.info(
+                "Takeover of partition {} failed, will retry: {!r}",
+                self.part,
+                error,
+            )
             return False
-        if unreadable and self.unreadable < MOST_UNREADABLE:
-            self.unreadable += 1
+        if unreadable and self.unreadable_takeovers < MAX_UNREADABLE_TAKEOVERS:
+            self.unreadable_takeovers += 1
             return False
         self.begin()
         return True
 
     def load(self, records: tuple[ledgers.LedgerRecord, ...]) -> int:
-        """Take records; return how many cannot be read and are left out."""
+        """Apply records; return how many are skipped as unreadable."""
         unreadable = 0
         for record in records:
             try:
                 self.book.apply(record)
             except errors.RecordError as error:
                 unreadable += 1
-                LOG.error("Record left out: {}", error)
+                LOG.error(
+                    "Unreadable record in partition {}, skipped: {}",
+                    self.part,
+                    error,
+                )
         return unreadable
 
     def begin(self) -> None:
-        """Serve calls and run what is open."""
+        """Start to serve calls and run open items."""
         jobs = self.book.jobs.values()
         LOG.notice(
             "Owns partition {} in epoch {}, {} jobs, {} items open.",
@@ -174,14 +189,18 @@
             sum(len(job.open_items) for job in jobs),
         )
         for name in self.book.drop_gaps():
-            LOG.warning("Job {} has a gap in its results.", name)
+            LOG.warning(
+                "Results of job {} have a gap; items without a usable result"
+                " are run again.",
+                name,
+            )
         self.writer.start()
         self.ready.set()
         self.items.begin(self.book.jobs)
-        self.changed()
+        self.notify_change()
 
     def on_fenced(self) -> None:
-        """Stop: another owner has taken over."""
+        """Stop, as another owner has taken over."""
         if not self.lost:
             LOG.notice("Lost partition {} to another owner.", self.part)
             try:
@@ -190,67 +209,77 @@
                 self.stop()
 
     def stop(self) -> list[asyncio.Task[None]]:
-        """Stop all work at once; the next owner does the rest.
+        """Stop all work immediately; the next owner resumes it.
 
         Returns:
-          Tasks of items that are ending.
+          Cancelled item tasks that have not ended yet.
         """
         self.lost = True
         ending = self.items.close()
         self.writer.stop()
         for task in list(self.submits.values()):
             task.cancel()
-        for event in self.news.values():
+        for event in self.job_events.values():
             event.set()
         if self.task is not None and self.task is not asyncio.current_task():
             self.task.cancel()
         return ending
 
     async def close(self) -> None:
-        """Stop and wait until everything has ended."""
+        """Stop and wait for the item tasks to end, up to a time limit."""
         ending = self.stop()
         if ending:
-            await asyncio.wait(ending, timeout=CLOSE_S)
+            await asyncio.wait(ending, timeout=CLOSE_TIMEOUT_S)
 
     # Results.
 
-    async def keep(
+    async def store_result(
         self, job: partition_state.Job, result: partition_records.Result
     ) -> None:
-        """Keep the result of an item.
+        """Store the result of an item.
 
         Raises:
-          LogError: it is the next owner's to know.
-          RecordError: it is larger than can be kept.
+          LogError: It is unknown whether the result was stored, or this host
+            no longer owns the partition.
+          RecordError: The result is too large to be stored.
         """
-        most = self.ledger.record_bytes
+        record_bytes = self.ledger.record_bytes
         size = len(result.text) + partition_records.RESULT_OVERHEAD
         if size > self.ledger.append_bytes:
             raise errors.RecordError(
-                f"result of {size} bytes is larger than an append may be",
+                f"result of {size} bytes exceeds the append limit of"
+                f" {self.ledger.append_bytes} bytes",
                 step="result",
                 peer="ledger",
             )
-        for record in partition_state.next_result(job, (), result, most):
+        for record in partition_state.next_result(
+            job, (), result, record_bytes
+        ):
             self.writer.check_size(record)
 
         def make(before: partwriter.Records) -> partwriter.Records:
-            return partition_state.next_result(job, before, result, most)
+            return partition_state.next_result(
+                job, before, result, record_bytes
+            )
 
         while True:
-            write = self.writer.put(make, size, RESULT_S)
+            write = self.writer.put(make, size, RESULT_TIMEOUT_S)
             try:
-                await self.writer.outcome(write, RESULT_S)
+                await self.writer.outcome(write, RESULT_TIMEOUT_S)
                 return
             except errors.LogRefused as error:
                 if self.lost or self.writer.closed:
                     raise
-                LOG.warning("Result of {} not kept yet: {}", job.id, error)
+                LOG.warning(
+                    "Result for job {} not stored, will retry: {}",
+                    job.id,
+                    error,
+                )
 
     # Records.
 
     def on_written(self, records: partwriter.Records) -> None:
-        """Take records that are kept now."""
+        """Apply records that have been stored."""
         for record in records:
             self.book.apply(record)
         for name in {
@@ -258,35 +287,35 @@
         }:
             job = self.book.jobs.get(name)
             if job is not None and job.ended:
-                # Items may have begun anew meanwhile, as an earlier call
-                # to end it was refused while this one still waited.
+                # Items may have been restarted because the store refused an
+                # earlier call to end the job while this one was pending.
                 self.items.stop_job(name)
             elif job is not None:
-                # Also where whoever sent it has got an error that it is not
-                # known what became of it.
+                # A stored job runs even if its caller was told that the
+                # outcome is unknown.
                 self.items.queue_open_items(job)
-            event = self.news.pop(name, None)
+            event = self.job_events.pop(name, None)
             if event is not None:
                 event.set()
-        self.changed()
+        self.notify_change()
 
-    def changed(self) -> None:
-        """Notify of a change.
+    def notify_change(self) -> None:
+        """Notify the listener of a change.
 
-        What goes wrong with a listener does not end the writer, by
-        which this is called, nor the takeover.
+        A failing listener must not end the writer or the takeover, which
+        call this.
         """
         try:
             self.on_change()
         except (Exception, asyncio.CancelledError) as error:
             LOG.error(
-                "Listener of partition {} failed: {}",
+                "Change listener of partition {} failed: {}",
                 self.part,
                 "".join(traceback.format_exception(error)),
             )
 
-    async def forget_old(self) -> None:
-        """Drop the keys of jobs whose keeping time is over."""
+    async def delete_expired_jobs(self) -> None:
+        """Delete the keys of jobs whose retention has expired."""
         now = self.parts.clock.wall()
         for name in self.book.over(now, self.keep_s):
             keys = list(self.book.keys.get(name, ()))
@@ -294,20 +323,22 @@
             if not records:
                 continue
             try:
-                await self.writer.write(records, WRITE_S)
+                await self.writer.write(records, WRITE_TIMEOUT_S)
             except errors.LogError as error:
-                LOG.info("Job {} not forgotten yet: {}", name, error)
+                LOG.info(
+                    "Expired job {} not deleted, will retry: {}", name, error
+                )
                 return
 
     # Calls.
 
     async def submit(self, part: partition_records.JobPart) -> None:
-        """Accept a job; the same id again is the same job.
+        """Accept a job; a known id is taken for a repeat of the same job.
 
         Raises:
-          LogRefused: it certainly is not accepted.
-          LogUnavailable: it may be.
-          RecordError: an item is too large to be kept.
+          LogRefused: The job is certainly not accepted.
+          LogUnavailable: The job may have been accepted.
+          RecordError: An item is too large to be stored.
         """
         if part.job in self.book.jobs:
             return
@@ -316,58 +347,68 @@
             task = asyncio.get_running_loop().create_task(self.accept(part))
             self.submits[part.job] = task
             task.add_done_callback(
-                lambda done: self.forget_submit(part.job, done)
+                lambda done: self.on_submit_done(part.job, done)
             )
         try:
             await asyncio.shield(task)
         except asyncio.CancelledError:
             if not task.cancelled():
                 raise
-            # Not the caller has gone but the partition: what became of
-            # the append is the next owner's to know.
+            # The partition was released; the caller is still waiting. Only
+            # the next owner learns whether the append took effect.
             raise errors.LogUnavailable(
                 "the partition changes hands", step="submit", peer="ledger"
             ) from None
 
-    def forget_submit(self, name: str, task: "asyncio.Task[None]") -> None:
-        """Forget a submit that has ended."""
+    def on_submit_done(self, name: str, task: "asyncio.Task[None]") -> None:
+        """Remove a finished submit task; its error goes to the callers."""
         self.submits.pop(name, None)
         if not task.cancelled():
             task.exception()
 
     async def accept(self, part: partition_records.JobPart) -> None:
-        """Write a job."""
+        """Store a job."""
         records = partition_records.accept_records(
             part, self.ledger.record_bytes
         )
-        await self.writer.write(records, WRITE_S)
+        await self.writer.write(records, WRITE_TIMEOUT_S)
 
     async def page(
         self, name: str, after: int, wait_s: float
     ) -> tuple[partition_state.Job, list[partition_records.Result]] | None:
-        """Return a job and its results from a position on, or None."""
+        """Return a job and its results from a position on.
+
+        Args:
+          name: Id of the job.
+          after: Position of the first result.
+          wait_s: Time to wait for a result if there is none yet.
+
+        Returns:
+          The job and as many results as fit in a page, or None if the job
+          is unknown.
+        """
         job = self.book.jobs.get(name)
         if job is None:
             return None
         if after >= len(job.results) and wait_s > 0 and job.open_items:
-            event = self.news.setdefault(name, asyncio.Event())
+            event = self.job_events.setdefault(name, asyncio.Event())
             with contextlib.suppress(TimeoutError):
                 async with asyncio.timeout(wait_s):
                     await event.wait()
-        found: list[partition_records.Result] = []
+        page: list[partition_records.Result] = []
         size = 0
         for result in job.results[after:]:
             size += len(result.text) + 100
-            if found and size > PAGE_BYTES:
+            if page and size > MAX_PAGE_BYTES:
                 break
-            found.append(result)
-        return job, found
+            page.append(result)
+        return job, page
 
     async def end(self, name: str) -> None:
-        """End a job; nothing more of it is begun from now on.
+        """End a job: cancel its items and start no others.
 
         Raises:
-          LogError: the end is not kept, or that is not known.
+          LogError: The end was not stored, or it is unknown whether it was.
         """
         job = self.book.jobs.get(name)
         if job is None or job.ended:
@@ -375,17 +416,17 @@
         self.ending[name] += 1
         self.items.stop_job(name)
         record = partition_records.end_record(name)
-        write = self.writer.put(lambda before: (record,), 0, WRITE_S)
-        # Its caller may have gone, or got an error that nothing is known, when
-        # it turns out that the job goes on.
-        write.done.add_done_callback(lambda _: self.end_known(name))
-        await self.writer.outcome(write, WRITE_S)
+        write = self.writer.put(lambda before: (record,), 0, WRITE_TIMEOUT_S)
+        # The outcome may come after the caller has disconnected or was told
+        # that it is unknown; if it is a refusal, the job must go on.
+        write.done.add_done_callback(lambda _: self.on_end_done(name))
+        await self.writer.outcome(write, WRITE_TIMEOUT_S)
 
-    def end_known(self, name: str) -> None:
-        """Go on with a job whose end was refused.
+    def on_end_done(self, name: str) -> None:
+        """Resume a job if the store refused to end it.
 
-        Nobody got an answer that it has ended; another call to end it may
-        still wait.
+        No caller was told that it has ended. While another call to end it is
+        pending, the job stays stopped.
         """
         self.ending[name] -= 1
         if self.ending[name]:
@@ -396,7 +437,12 @@
             self.items.queue_open_items(job)
 
     async def confirm(self) -> None:
-        """Make sure that no other has taken over; errors as ``append``."""
+        """Check that no other host has taken over.
+
+        Raises:
+          LogFenced: Another host has taken over.
+          LogError: The store did not confirm the epoch.
+        """
         try:
             await self.ledger.set_epoch(TOPIC, self.part, self.epoch)
         except errors.LogFenced:
--- a/tests/test_partition_owner.py
+++ b/tests/test_partition_owner.py
@@ -1,4 +1,4 @@
-"""A partition of jobs with its owner: taken over, fenced off, read."""
+"""Tests of the owner of a partition: takeover, fencing, results and ends."""
 
 import asyncio
 
@@ -23,14 +23,14 @@
 
 
 class Owned:
-    """An owner of partition 0 with engines that follow a script."""
+    """An owner of partition 0, with engines that give scripted answers."""
 
-    def __init__(self, held, script=(), epoch=1):
+    def __init__(self, store, script=(), epoch=1):
         clock = clocks.SystemClock()
         self.lost = []
         self.owner = partition_owner.PartitionOwner(
             hostkit.work_parts(clock, script),
-            held,
+            store,
             0,
             epoch,
             120.0,
@@ -40,13 +40,13 @@
         self.owner.start()
 
     async def ready(self):
-        """Wait until it has taken the partition over."""
+        """Wait until the takeover is complete; return the owner."""
         await self.owner.ready.wait()
         return self.owner
 
 
 def part_of(job="j1", count=3):
-    """Return a job taken now."""
+    """Return a job accepted now."""
     return test_partition_state.part_of(
         job, count, taken_at=clocks.SystemClock().wall()
     )
@@ -62,8 +62,8 @@
 
 
 async def test_a_job_is_kept_run_and_read():
-    held = ledger.MemoryLedger()
-    owned = Owned(held, [good() for _ in range(3)])
+    store = ledger.MemoryLedger()
+    owned = Owned(store, [good() for _ in range(3)])
     owner = await owned.ready()
     await owner.submit(part_of())
     await owner.submit(part_of())
@@ -74,10 +74,10 @@
 
 
 async def test_the_next_owner_goes_on_with_what_is_open():
-    # The owner is lost after one of three results. The next one keeps
-    # that, at its place, and runs the other two.
-    held = ledger.MemoryLedger()
-    first = await Owned(held, [good()]).ready()
+    # The owner stops after one of three results. The next owner keeps that
+    # result at its position and runs the other two items.
+    store = ledger.MemoryLedger()
+    first = await Owned(store, [good()]).ready()
     first.parts.slots.names = []
     await first.writer.write(
         partition_records.accept_records(part_of(), 262_144), 1.0
@@ -91,7 +91,7 @@
         1.0,
     )
     first.stop()
-    second = await Owned(held, [good(), good()], epoch=2).ready()
+    second = await Owned(store, [good(), good()], epoch=2).ready()
     found = await all_results(second, "j1", 3)
     assert found[0] == partition_records.Result(1, DONE, b"kept")
     assert sorted(r.item for r in found) == [0, 1, 2]
@@ -99,9 +99,10 @@
 
 
 async def test_an_owner_that_wakes_late_adds_nothing_and_stops():
-    # It was paused with an item under way; another took over and has
-    # listed that item. What it sends now is refused by the store.
-    held = ledger.MemoryLedger()
+    # The owner is paused with an item running. Another host takes over and
+    # stores a result for that item. The store must refuse what the first
+    # owner appends when it resumes.
+    store = ledger.MemoryLedger()
     waiting = hostkit.Answer([])
     wake = asyncio.Event()
     rest = [hostkit.event(1), b""]
@@ -111,10 +112,10 @@
         return rest.pop(0)
 
     waiting.read = read
-    old = Owned(held, [waiting])
+    old = Owned(store, [waiting])
     owner = await old.ready()
     await owner.submit(part_of(count=1))
-    second = await Owned(held, [good()], epoch=2).ready()
+    second = await Owned(store, [good()], epoch=2).ready()
     before = await all_results(second, "j1", 1)
     wake.set()
     while not old.lost:
@@ -127,11 +128,11 @@
 
 
 async def test_a_partition_lost_during_a_submit_promises_nothing():
-    # The append may have been kept; a refusal would promise that the job
-    # never runs, and a cut connection would tell the caller nothing.
-    held = ledger.MemoryLedger()
-    owner = await Owned(held).ready()
-    held.lose_answers = 10_000
+    # The append may have been stored. A refusal would promise that the job
+    # never runs, and a dropped connection would tell the caller nothing.
+    store = ledger.MemoryLedger()
+    owner = await Owned(store).ready()
+    store.lose_answers = 10_000
     task = asyncio.ensure_future(owner.submit(part_of()))
     await asyncio.sleep(0.2)
     owner.stop()
@@ -140,30 +141,31 @@
 
 
 async def test_a_submit_that_lands_late_runs_all_the_same():
-    # The caller was told that nothing is known; the append took effect.
-    held = ledger.MemoryLedger()
-    owner = await Owned(held, [good() for _ in range(3)]).ready()
-    held.lose_answers = 1
-    held.refuse = 0
+    # The caller was told that the outcome is unknown, but the append took
+    # effect.
+    store = ledger.MemoryLedger()
+    owner = await Owned(store, [good() for _ in range(3)]).ready()
+    store.lose_answers = 1
+    store.refuse = 0
     task = asyncio.ensure_future(owner.submit(part_of()))
     await asyncio.sleep(0.01)
-    held.down = True
+    store.down = True
     with pytest.raises(errors.LogUnavailable):
         await task
-    held.down = False
+    store.down = False
     assert len(await all_results(owner, "j1", 3)) == 3
     await owner.close()
 
 
 async def test_an_ended_job_lists_nothing_more():
-    held = ledger.MemoryLedger()
+    store = ledger.MemoryLedger()
     slow = hostkit.Answer([])
 
     async def read(timeout_s):
         await asyncio.sleep(3600.0)
 
     slow.read = read
-    owner = await Owned(held, [slow]).ready()
+    owner = await Owned(store, [slow]).ready()
     owner.parts.slots.refusals = 0
     await owner.submit(part_of(count=1))
     await asyncio.sleep(1.0)
@@ -177,64 +179,65 @@
 
 
 async def test_an_end_that_is_refused_leaves_the_job_running():
-    held = ledger.MemoryLedger()
-    owner = await Owned(held, []).ready()
+    store = ledger.MemoryLedger()
+    owner = await Owned(store, []).ready()
     owner.parts.slots.refusals = 10**6
     await owner.submit(part_of(count=1))
-    held.refuse = 10_000
+    store.refuse = 10_000
     with pytest.raises(errors.LogRefused):
         await owner.end("j1")
-    held.refuse = 0
+    store.refuse = 0
     owner.parts.slots.refusals = 0
     owner.parts.backends.party.script = [good()]
     assert len(await all_results(owner, "j1", 1)) == 1
     await owner.close()
 
 
-async def test_whoever_cannot_be_sure_does_not_say_that_nothing_is_there():
-    held = ledger.MemoryLedger()
-    old = Owned(held)
+async def test_a_fenced_owner_cannot_confirm_its_epoch():
+    store = ledger.MemoryLedger()
+    old = Owned(store)
     owner = await old.ready()
     await owner.confirm()
-    await held.set_epoch(JOBS, 0, 2)
+    await store.set_epoch(JOBS, 0, 2)
     with pytest.raises(errors.LogFenced):
         await owner.confirm()
     assert old.lost == [owner]
 
 
-async def test_old_jobs_are_dropped_key_by_key():
-    held = ledger.MemoryLedger()
-    owner = await Owned(held, [good()]).ready()
+async def test_expired_jobs_are_deleted_from_the_store():
+    store = ledger.MemoryLedger()
+    owner = await Owned(store, [good()]).ready()
     await owner.submit(part_of(count=1))
     await all_results(owner, "j1", 1)
     await asyncio.sleep(130.0)
-    page = await held.newest(JOBS, 0)
+    page = await store.newest(JOBS, 0)
     assert page.records == ()
     assert not owner.book.jobs
     await owner.close()
 
 
-async def test_a_take_over_waits_for_the_store():
-    held = ledger.MemoryLedger()
-    held.down = True
-    owned = Owned(held)
+async def test_a_takeover_waits_for_the_store():
+    store = ledger.MemoryLedger()
+    store.down = True
+    owned = Owned(store)
     await asyncio.sleep(5.0)
     assert not owned.owner.ready.is_set()
-    held.down = False
+    store.down = False
     await owned.ready()
     await owned.owner.close()
 
 
 async def test_an_end_cut_short_by_the_loss_of_the_partition_begins_nothing():
-    # The store is away; one append is under way, a job's end waits behind
-    # it, its items are stopped. Out of touch for long, the owner gives the
-    # partition up. The end is refused, so the items began anew, beside
-    # those of the next owner, and after the end that one acknowledged.
-    held = ledger.MemoryLedger()
-    owner = await Owned(held, []).ready()
+    # The store is unavailable: one append is in flight, and the end of a job
+    # is queued behind it. The owner then releases the partition, which refuses
+    # the queued end. The owner used to restart the job's items on that
+    # refusal, in parallel with the next owner and after an end that the next
+    # owner had acknowledged.
+    store = ledger.MemoryLedger()
+    owner = await Owned(store, []).ready()
     owner.parts.slots.refusals = 10**6
     await owner.submit(part_of(count=2))
-    held.refuse = 10**6
+    store.refuse = 10**6
     first = asyncio.ensure_future(owner.submit(part_of("j2")))
     await asyncio.sleep(0.1)
     ending = asyncio.ensure_future(owner.end("j1"))
@@ -252,29 +255,29 @@
 
 
 async def test_of_two_calls_to_end_a_job_the_one_that_is_kept_counts():
-    # The store is away. The caller asks for the end again before its first
-    # call is refused. That one let the items begin anew; the second was
-    # kept when the store came back, and the items ran on after it.
-    held = ledger.MemoryLedger()
-    owner = await Owned(held, []).ready()
+    # The store is unavailable, and the caller repeats its call to end the job
+    # before the first one is refused. That refusal used to restart the items,
+    # which went on running after the second call had been stored.
+    store = ledger.MemoryLedger()
+    owner = await Owned(store, []).ready()
     owner.parts.slots.refusals = 10**6
     await owner.submit(part_of(count=2))
-    held.refuse = 10**6
+    store.refuse = 10**6
     first = asyncio.ensure_future(owner.end("j1"))
     await asyncio.sleep(2.0)
     second = asyncio.ensure_future(owner.end("j1"))
     with pytest.raises(errors.LogRefused):
         await first
     assert not owner.items.running
-    held.refuse = 0
+    store.refuse = 0
     await second
     await asyncio.sleep(0.2)
     assert not owner.items.running
 
 
 async def test_an_end_kept_while_items_run_stops_them():
-    held = ledger.MemoryLedger()
-    owner = await Owned(held, []).ready()
+    store = ledger.MemoryLedger()
+    owner = await Owned(store, []).ready()
     owner.parts.slots.refusals = 10**6
     await owner.submit(part_of(count=2))
     await asyncio.sleep(0.1)
