--- a/camphortray/job_router.py
+++ b/camphortray/job_router.py
@@ -331,7 +331,7 @@
             await self.sure(owner)
             raise unknown_job(ask.job)
         check_workspace(job, ask.workspace)
-        place = job.item(ask.item)
+        place = job.index_of(ask.item)
         item = job.items[place] if place is not None else None
         if item is None or job.ended or place in job.listed:
             raise errors.Refused(404, "unknown_item", "no such item waits")
--- a/camphortray/partition_owner.py
+++ b/camphortray/partition_owner.py
@@ -317,7 +317,7 @@
     async def delete_expired_jobs(self) -> None:
         """Delete the keys of jobs whose retention has expired."""
         now = self.parts.clock.wall()
-        for name in self.book.over(now, self.keep_s):
+        for name in self.book.expired_jobs(now, self.keep_s):
             keys = list(self.book.keys.get(name, ()))
             records = [ledgers.LedgerRecord(key, b"") for key in keys]
             if not records:
--- a/camphortray/partition_state.py
+++ b/camphortray/partition_state.py
@@ -1,9 +1,9 @@
 """Batch jobs of opaque items, as one partition of the ledger holds them.
 
 The state is the newest record of each key, and each key is written once (see
-``partition_records``). Only the owner of the partition appends, in its epoch,
-so no record here is ever void. A job that is kept no longer is dropped key by
-key.
+``partition_records``) before it is deleted. Only the owner of the partition
+appends, in its epoch, so every stored record is valid. An expired job is
+deleted key by key.
 """
 
 __all__ = ["Job", "PartitionState", "next_result"]
@@ -23,15 +23,15 @@
     """One job.
 
     Attributes:
-      id: As the caller gave it.
-      host_name: Of the caller's ``Host`` header.
-      target: Path under which it was sent.
-      taken_at: When it was accepted, in seconds since 1970.
-      items: All of them; None where a part has not been read yet.
-      results: In the order in which they came to stand.
-      listed: Places of the items that have a result.
-      ended: Whether its caller has ended it.
-      workspace: Whose it is; empty if nobody's in particular.
+      id: Id that the caller chose.
+      host_name: Value of the caller's ``Host`` header.
+      target: Request path to which the job was submitted.
+      taken_at: When the job was accepted, in seconds since 1970.
+      items: All items by index; None where a part has not been read yet.
+      results: Results in the order in which they were stored.
+      listed: Indexes of the items that have a result.
+      ended: Whether the caller has ended the job.
+      workspace: Workspace that owns the job; empty if it belongs to none.
     """
 
     id: str
@@ -48,33 +48,36 @@
 
     @property
     def whole(self) -> bool:
-        """Whether all items have been read."""
+        """Whether all items of the job have been read."""
         return None not in self.items
 
     @property
     def open_items(self) -> list[int]:
-        """Places of the items without a result."""
+        """Indexes of the items still to be run; none once the job ended."""
         if self.ended:
             return []
         return [
-            place
-            for place in range(len(self.items))
-            if place not in self.listed
+            index
+            for index in range(len(self.items))
+            if index not in self.listed
         ]
 
     @property
     def waiting_tokens(self) -> int:
-        """Tokens of the items without a result."""
+        """Tokens of the items still to be run."""
         return sum(
             item.tokens
-            for place in self.open_items
-            if (item := self.items[place]) is not None
+            for index in self.open_items
+            if (item := self.items[index]) is not None
         )
 
     def add(
         self, position: int, results: Iterable[partition_records.Result]
     ) -> None:
-        """Take results that stand from a position on."""
+        """Append results that start at a position.
+
+        Results at other positions, or of items that have one, are ignored.
+        """
         for result in results:
             if position == len(self.results) and (
                 result.item not in self.listed
@@ -83,11 +86,11 @@
                 self.listed.add(result.item)
             position += 1
 
-    def item(self, item_id: str) -> int | None:
-        """Return the place of an item."""
-        for place, item in enumerate(self.items):
+    def index_of(self, item_id: str) -> int | None:
+        """Return the index of an item, or None if there is no such item."""
+        for index, item in enumerate(self.items):
             if item is not None and item.id == item_id:
-                return place
+                return index
         return None
 
 
@@ -97,49 +100,49 @@
     result: partition_records.Result,
     record_bytes: int,
 ) -> tuple[ledgers.LedgerRecord, ...]:
-    """Return the records of a result, at the next position of its job.
+    """Return the records that store a result at the job's next position.
 
-    A text that is larger than a record goes in pieces before it; they are
-    appended with it, all or none. Nothing is to be kept of an item that has
-    a result already, as where it ran again after the end of its job was
-    refused.
+    A text larger than a record is split into pieces, which precede the result
+    in the same atomic append. There are no records if the item already has a
+    result; it may have run again after the store refused to end its job.
 
     Args:
-      job: With all results that are kept.
-      before: Records that are appended before it and not kept yet.
-      result: Of an item of the job.
-      record_bytes: Most bytes of one record.
+      job: The job, with all its stored results.
+      before: Records that precede these in the same append.
+      result: Result of an item of the job.
+      record_bytes: Size limit of a record.
 
     Raises:
-      RecordError: it is larger than can be passed on.
+      RecordError: The text is larger than one message between hosts can hold.
     """
     prefix = f"r/{job.id}/"
     ahead = [
-        held.item
+        earlier.item
         for record in before
         if record.key.startswith(prefix)
-        for held in partition_records.RESULTS.decode(record.value)
+        for earlier in partition_records.RESULTS.decode(record.value)
     ]
     if result.item in job.listed or result.item in ahead:
         return ()
     position = len(job.results) + len(ahead)
-    size = (
+    text_bytes = (
         record_bytes - len(job.id.encode()) - partition_records.RESULT_OVERHEAD
     )
-    if len(result.text) <= size:
+    if len(result.text) <= text_bytes:
         return (partition_records.result_record(job.id, position, (result,)),)
-    if len(result.text) > partition_records.TEXT_BYTES or size <= 0:
-        most = partition_records.TEXT_BYTES
+    if len(result.text) > partition_records.TEXT_BYTES or text_bytes <= 0:
+        limit = partition_records.TEXT_BYTES
         raise errors.RecordError(
-            f"result of {len(result.text)} bytes, {most} at most",
+            f"result of {len(result.text)} bytes exceeds the limit of {limit}"
+            " bytes",
             step="result",
         )
     pieces = [
         ledgers.LedgerRecord(
             partition_records.piece_key(job.id, position, number),
-            result.text[start : start + size],
+            result.text[start : start + text_bytes],
         )
-        for number, start in enumerate(range(0, len(result.text), size))
+        for number, start in enumerate(range(0, len(result.text), text_bytes))
     ]
     last = dataclasses.replace(result, text=b"", pieces=len(pieces))
     return (
@@ -152,56 +155,60 @@
     """All jobs of a partition.
 
     Attributes:
-      jobs: By id.
-      keys: Keys in the ledger, by job.
-      pieces: Of texts whose result has not been read yet, by job and key.
+      jobs: Jobs by id.
+      keys: Keys in the ledger, by job id.
+      ended_jobs: Ids of the jobs that their callers have ended.
+      pending_results: Results that cannot be applied yet, as the job, an
+        earlier result or a piece of the text is missing, by job id and
+        position.
+      pieces: Pieces of texts that are not complete yet, by job id and key.
     """
 
     def __init__(self) -> None:
         self.jobs: dict[str, Job] = {}
         self.keys: dict[str, list[str]] = {}
-        self.ends: set[str] = set()
-        self.early: dict[
+        self.ended_jobs: set[str] = set()
+        self.pending_results: dict[
             str, dict[int, tuple[partition_records.Result, ...]]
         ] = {}
         self.pieces: dict[str, dict[str, bytes]] = {}
 
     def load(self, records: Iterable[ledgers.LedgerRecord]) -> None:
-        """Take records of a listing, in any order."""
+        """Apply the records of a listing, in any order."""
         for record in records:
             self.apply(record)
 
     def apply(self, record: ledgers.LedgerRecord) -> None:
-        """Take one record.
+        """Apply one record.
 
         Raises:
-          RecordError: it cannot be read.
+          RecordError: The record cannot be decoded.
         """
         kind, job, number = partition_records.split_key(record.key)
         if not record.value:
-            self.forget_key(job, record.key)
+            self.on_key_deleted(job, record.key)
             return
         try:
             if kind == "j":
                 self.apply_part(partition_records.PARTS.decode(record.value))
             elif kind == "r":
                 results = partition_records.RESULTS.decode(record.value)
-                self.early.setdefault(job, {})[int(number)] = results
+                self.pending_results.setdefault(job, {})[int(number)] = results
             elif kind == "t":
                 self.pieces.setdefault(job, {})[record.key] = record.value
             elif kind == "e":
-                self.ends.add(job)
+                self.ended_jobs.add(job)
         except (msgspec.DecodeError, ValueError) as error:
             raise errors.RecordError(
                 f"{record.key}: {error}", step="read job"
             ) from error
-        held = self.keys.setdefault(job, [])
-        if record.key not in held:
-            held.append(record.key)
-        self.settle(job)
+        keys = self.keys.setdefault(job, [])
+        if record.key not in keys:
+            keys.append(record.key)
+        self.apply_pending(job)
 
     def apply_part(self, part: partition_records.JobPart) -> None:
-        """Take part of an accepted job."""
+        """Add a part of an accepted job."""
         job = self.jobs.get(part.job)
         if job is None:
             job = self.jobs[part.job] = Job(
@@ -213,87 +220,96 @@
                 workspace=part.workspace,
             )
         if not 0 <= part.first <= len(job.items) - len(part.items):
-            raise ValueError("items beyond the end of their job")
-        for place, item in enumerate(part.items, part.first):
-            job.items[place] = item
+            raise ValueError(
+                f"items {part.first} to {part.first + len(part.items) - 1} are"
+                f" not within the {len(job.items)} items of the job"
+            )
+        for index, item in enumerate(part.items, part.first):
+            job.items[index] = item
 
-    def settle(self, name: str) -> None:
-        """Give a job the results and the end that were read before it."""
+    def apply_pending(self, name: str) -> None:
+        """Apply the pending results, and the end, of a job."""
         job = self.jobs.get(name)
         if job is None:
             return
-        early = self.early.get(name, {})
-        while len(job.results) in early:
+        pending_results = self.pending_results.get(name, {})
+        while len(job.results) in pending_results:
             position = len(job.results)
-            whole = self.whole(name, position, early[position])
-            if whole is None:
+            joined = self.join_pieces(
+                name, position, pending_results[position]
+            )
+            if joined is None:
                 break
-            del early[position]
-            job.add(position, whole)
+            del pending_results[position]
+            job.add(position, joined)
             if len(job.results) == position:
                 break
-        job.ended = job.ended or name in self.ends
+        job.ended = job.ended or name in self.ended_jobs
 
-    def whole(
+    def join_pieces(
         self,
         name: str,
         position: int,
         results: tuple[partition_records.Result, ...],
     ) -> tuple[partition_records.Result, ...] | None:
-        """Return results with their texts; None while a piece is missing."""
+        """Return results with whole texts, or None if a piece is missing."""
         if not any(result.pieces for result in results):
             return results
-        held = self.pieces.get(name, {})
-        found = []
+        pieces = self.pieces.get(name, {})
+        joined = []
         for result in results:
             keys = [
                 partition_records.piece_key(name, position, number)
                 for number in range(result.pieces)
             ]
-            if not all(key in held for key in keys):
+            if not all(key in pieces for key in keys):
                 return None
-            text = b"".join(held.pop(key) for key in keys) or result.text
-            found.append(dataclasses.replace(result, text=text, pieces=0))
-        return tuple(found)
+            text = b"".join(pieces.pop(key) for key in keys) or result.text
+            joined.append(dataclasses.replace(result, text=text, pieces=0))
+        return tuple(joined)
 
     def drop_gaps(self) -> list[str]:
-        """Forget results that stand behind a gap; return of which jobs.
+        """Discard results after a gap; return the ids of their jobs.
 
-        Their items are open and run again, and the positions up to there
-        are given anew. Left in wait, they would come to stand on their own
-        as soon as the gap is closed, at positions that others have been
-        given meanwhile.
+        Their items are still open and run again, and new results reuse their
+        positions. Kept, the old results would be applied once the gap is
+        filled, at positions that new results have taken meanwhile.
         """
-        names = [name for name, early in self.early.items() if early]
-        self.early.clear()
+        names = [
+            name
+            for name, pending_results in self.pending_results.items()
+            if pending_results
+        ]
+        self.pending_results.clear()
         self.pieces.clear()
         return names
 
-    def forget_key(self, name: str, key: str) -> None:
-        """Take note that a key was dropped; the job goes with its first."""
-        held = self.keys.get(name)
-        if held is None:
+    def on_key_deleted(self, name: str, key: str) -> None:
+        """Note that a key was deleted; with the last key, forget the job."""
+        keys = self.keys.get(name)
+        if keys is None:
             return
-        if key in held:
-            held.remove(key)
-        if not held:
+        if key in keys:
+            keys.remove(key)
+        if not keys:
             self.forget(name)
 
     def forget(self, name: str) -> list[ledgers.LedgerRecord]:
-        """Forget a job; return the records that drop its keys."""
+        """Forget a job; return the records that delete its keys."""
         self.jobs.pop(name, None)
-        self.ends.discard(name)
-        self.early.pop(name, None)
+        self.ended_jobs.discard(name)
+        self.pending_results.pop(name, None)
         self.pieces.pop(name, None)
         keys = self.keys.pop(name, [])
         return [ledgers.LedgerRecord(key, b"") for key in keys]
 
-    def over(self, now: float, keep_s: float) -> list[str]:
-        """Return the jobs whose keeping time is over.
+    def expired_jobs(self, now: float, keep_s: float) -> list[str]:
+        """Return the ids of the jobs whose retention has expired.
 
         Args:
           now: Seconds since 1970.
-          keep_s: Time for which results are kept after the accept.
+          keep_s: Retention of a job after it was accepted. A job with open
+            items is kept for longer.
         """
         return [
             name
@@ -302,7 +318,12 @@
         ]
 
     def waiting_tokens(self, host_name: str, prefix: str) -> int:
-        """Return the tokens that wait on one route."""
+        """Return the tokens of open items on one route.
+
+        Args:
+          host_name: Host name that the route matches.
+          prefix: Path prefix that the route matches.
+        """
         return sum(
             job.waiting_tokens
             for job in self.jobs.values()
--- a/tests/test_partition_state.py
+++ b/tests/test_partition_state.py
@@ -1,4 +1,4 @@
-"""Jobs as a partition holds them: read in any order, the same state."""
+"""Tests of the state of a partition, which no order of its records changes."""
 
 import itertools
 
@@ -32,7 +32,7 @@
 
 
 def records_of(job="j1", count=3):
-    """Return the records of a job with two results, and its end."""
+    """Return the records of a job with two results and an end."""
     records = partition_records.accept_records(part_of(job, count), 262_144)
     records.append(
         partition_records.result_record(
@@ -49,12 +49,12 @@
 
 
 def test_a_job_reads_the_same_in_any_order():
-    # A listing of the newest keys comes in no order that matters.
+    # The store lists the newest records of a partition in any order.
     states = set()
     for records in itertools.permutations(records_of()):
-        book = partition_state.PartitionState()
-        book.load(records)
-        job = book.jobs["j1"]
+        state = partition_state.PartitionState()
+        state.load(records)
+        job = state.jobs["j1"]
         states.add((tuple(job.results), job.ended, len(job.items)))
         assert job.whole
     assert len(states) == 1
@@ -69,15 +69,15 @@
     records = partition_records.accept_records(part, 8_000)
     assert len(records) > 5
     assert all(len(r.value) <= 8_000 for r in records)
-    book = partition_state.PartitionState()
-    book.load(records)
-    items = book.jobs["j1"].items
+    state = partition_state.PartitionState()
+    state.load(records)
+    items = state.jobs["j1"].items
     assert tuple(items) == part.items
 
 
 def test_a_text_larger_than_a_record_reads_the_same_in_any_order():
-    # Its result was never listed: no record takes it, its item was run again
-    # every 30 s until its time was over, and then abandoned.
+    # Such a result could not be stored, as no record holds it: its item ran
+    # again every 30 s until its deadline and was then abandoned.
     job = partition_state.Job("j1", "h", "/p/", 0.0, [None] * 3)
     text = bytes(range(256)) * 10
     large = partition_records.Result(1, DONE, text)
@@ -88,15 +88,15 @@
     after = partition_state.next_result(job, pieces, small, 1_200)
     accepted = partition_records.accept_records(part_of(), 262_144)
     for records in itertools.permutations([*accepted, *pieces, *after]):
-        book = partition_state.PartitionState()
-        book.load(records)
-        assert book.jobs["j1"].results == [large, small]
-        assert not any(book.pieces.values())
-    lacking = partition_state.PartitionState()
-    lacking.load([*accepted, *pieces[1:], *after])
-    assert lacking.jobs["j1"].results == []
-    assert lacking.drop_gaps() == ["j1"]
-    # The largest that is kept can be read at other hosts.
+        state = partition_state.PartitionState()
+        state.load(records)
+        assert state.jobs["j1"].results == [large, small]
+        assert not any(state.pieces.values())
+    incomplete = partition_state.PartitionState()
+    incomplete.load([*accepted, *pieces[1:], *after])
+    assert incomplete.jobs["j1"].results == []
+    assert incomplete.drop_gaps() == ["j1"]
+    # The largest text that is stored fits in a message to another host.
     texts = (("j1-1", DONE, b"x" * partition_records.TEXT_BYTES),)
     messages.encode(
         messages.Envelope(1, True, jobmessages.PageReply(3, 0, texts))
@@ -123,46 +123,48 @@
     assert job.open_items == [0, 2]
 
 
-def test_a_job_lacking_a_part_is_not_whole():
+def test_a_job_without_one_of_its_parts_is_incomplete():
     records = partition_records.accept_records(
         part_of(count=4, size=3_000), 8_000
     )
-    book = partition_state.PartitionState()
-    book.load(records[:1])
-    assert not book.jobs["j1"].whole
+    state = partition_state.PartitionState()
+    state.load(records[:1])
+    assert not state.jobs["j1"].whole
 
 
 def test_a_job_whose_keys_are_dropped_is_gone():
-    book = partition_state.PartitionState()
-    book.load(records_of())
-    for key in list(book.keys["j1"]):
-        book.apply(ledger.LedgerRecord(key, b""))
-    assert not book.jobs
-    assert not book.keys
+    state = partition_state.PartitionState()
+    state.load(records_of())
+    for key in list(state.keys["j1"]):
+        state.apply(ledger.LedgerRecord(key, b""))
+    assert not state.jobs
+    assert not state.keys
 
 
 @pytest.mark.parametrize(
     ("now", "open_items", "over"),
     [(150.0, False, []), (221.0, False, ["j1"]), (221.0, True, [])],
 )
-def test_when_the_keeping_time_is_over(now, open_items, over):
-    book = partition_state.PartitionState()
+def test_a_job_without_open_items_expires_after_its_retention(
+    now, open_items, over
+):
+    state = partition_state.PartitionState()
     records = records_of()
-    book.load(records[:-1] if open_items else records)
-    assert book.over(now, 120.0) == over
+    state.load(records[:-1] if open_items else records)
+    assert state.expired_jobs(now, 120.0) == over
 
 
-def test_a_record_that_cannot_be_read_says_its_key():
+def test_the_error_for_an_unreadable_record_names_its_key():
     with pytest.raises(errors.RecordError, match="r/j1/000000"):
         partition_state.PartitionState().apply(
             ledger.LedgerRecord("r/j1/000000", b"\xff")
         )
 
 
-def test_tokens_wait_until_an_item_has_a_result():
-    book = partition_state.PartitionState()
-    book.load(records_of()[:1])
-    job = book.jobs["j1"]
+def test_tokens_of_an_item_wait_until_it_has_a_result():
+    state = partition_state.PartitionState()
+    state.load(records_of()[:1])
+    job = state.jobs["j1"]
     assert job.waiting_tokens == 300
     job.add(0, [partition_records.Result(0, DONE)])
     assert job.waiting_tokens == 200
@@ -170,27 +172,27 @@
     assert job.waiting_tokens == 0
 
 
-def test_two_owners_that_accept_at_once_do_not_both_take_the_last_room():
-    # Their counts spread some tenths of a second later.
-    book = jobquota.QuotaTracker()
-    book.update_counts(0, 1, {"r": 700})
-    assert book.reserve("r", "a", 250, 1000, 0.0)
-    assert not book.reserve("r", "b", 250, 1000, 0.1)
-    assert book.reserve("r", "a", 250, 1000, 0.1)
-    book.update_counts(1, 1, {"r": 250})
-    assert not book.reserve("r", "b", 250, 1000, 3.0)
-    book.update_counts(0, 1, {"r": 300})
-    assert book.reserve("r", "b", 250, 1000, 3.1)
+def test_owners_that_accept_at_the_same_time_do_not_both_use_the_last_quota():
+    # Other owners receive the counts some tenths of a second later.
+    tracker = jobquota.QuotaTracker()
+    tracker.update_counts(0, 1, {"r": 700})
+    assert tracker.reserve("r", "a", 250, 1000, 0.0)
+    assert not tracker.reserve("r", "b", 250, 1000, 0.1)
+    assert tracker.reserve("r", "a", 250, 1000, 0.1)
+    tracker.update_counts(1, 1, {"r": 250})
+    assert not tracker.reserve("r", "b", 250, 1000, 3.0)
+    tracker.update_counts(0, 1, {"r": 300})
+    assert tracker.reserve("r", "b", 250, 1000, 3.1)
 
 
-def test_the_count_of_an_owner_before_is_void():
-    book = jobquota.QuotaTracker()
-    book.update_counts(0, 5, {"r": 100})
-    book.update_counts(0, 4, {"r": 900})
-    assert book.waiting("r", 0.0) == 100
+def test_the_count_of_a_previous_owner_is_ignored():
+    tracker = jobquota.QuotaTracker()
+    tracker.update_counts(0, 5, {"r": 100})
+    tracker.update_counts(0, 4, {"r": 900})
+    assert tracker.waiting("r", 0.0) == 100
 
 
-def test_no_limit_is_no_refusal():
-    book = jobquota.QuotaTracker()
-    book.update_counts(0, 1, {"r": 10**9})
-    assert book.reserve("r", "a", 10**9, 0, 0.0)
+def test_without_a_limit_nothing_is_refused():
+    tracker = jobquota.QuotaTracker()
+    tracker.update_counts(0, 1, {"r": 10**9})
+    assert tracker.reserve("r", "a", 10**9, 0, 0.0)
