--- a/camphortray/job_router.py
+++ b/camphortray/job_router.py
@@ -183,7 +183,7 @@
                 self.log_missed(job, part, refusal)
                 # An earlier try may have been kept: promise nothing.
                 raise unsure_of(refusal) if unsure else refusal
-            await self.owners.seek(FIND_PAUSE_S)
+            await self.owners.wait_for_owner(FIND_PAUSE_S)
 
     async def ask_owner(self, part: int, ask: Ask, timeout_s: float) -> Any:
         """Ask the owner of a partition, which may be this host.
@@ -270,7 +270,7 @@
     ) -> jobmessages.Taken:
         """Accept a job."""
         known = ask.job.job in owner.book.jobs
-        if not known and not await self.owners.waiting.has_room(ask.job):
+        if not known and not await self.owners.backlog.has_room(ask.job):
             LOG.info(
                 "Job {} refused: no room on its route, {} items.",
                 ask.job.job,
@@ -310,7 +310,7 @@
             raise unknown_job(ask.job)
         job, results = found
         check_workspace(job, ask.workspace)
-        if not results and self.owners.lapsed:
+        if not results and self.owners.membership_lapsed:
             # Another owner may have more by now.
             raise self.miss(owner.part, owner_cache.Miss.OUT_OF_TOUCH)
         return jobmessages.PageReply(
--- a/camphortray/partition_manager.py
+++ b/camphortray/partition_manager.py
@@ -1,4 +1,4 @@
-"""Which partitions of jobs this host owns, and who owns the others."""
+"""Manages the job partitions of this host and tracks who owns the others."""
 
 __all__ = ["PartitionManager"]
 
@@ -24,44 +24,46 @@
 
 LOG = logs.logger("jobs")
 OWNER = "job-owner"
-# Time without a call after which the group goes on without this host, and
-# from one call to the next, in seconds. The store takes no less than one.
+# Time without a renewal after which the group removes this host. The store
+# accepts no less than one second.
 KEEP_S = 1.2
+# Interval between renewals of the membership.
 JOIN_EVERY_S = 0.35
-# From one look of a host that is no candidate at its rank to the next.
-RANK_EVERY_S = 1.0
-FACT_KEEP_S = 600.0
-# Times that an epoch is confirmed before its partition is given up. Each
-# takes some tenths of a second at most, all together less than an ended
-# job's items may still reach engines.
+# Interval at which a host that is no candidate checks its rank.
+RANK_CHECK_INTERVAL_S = 1.0
+FACT_TTL_S = 600.0
+# Attempts to confirm an epoch before its partition is released. Each takes
+# some tenths of a second at most; together they take less than the time for
+# which items of an ended job may still reach engines.
 CONFIRM_TRIES = 4
-# Least seconds from one question to the store of who owns what to the next,
-# however many calls lack an owner: three calls a second of a host that has
-# such calls, where it is a member of the group at the same rate.
-SEEK_EVERY_S = 0.35
-# Least seconds from one time that this host leaves the group, to be dealt its
-# partitions in a later generation, to the next.
-ANEW_EVERY_S = 5.0
+# Minimum interval between queries for the owners of all partitions, however
+# many calls lack an owner: a host with such calls sends at most three a
+# second, the rate at which a member of the group renews its membership.
+OWNER_QUERY_INTERVAL_S = 0.35
+# Minimum interval between the times that this host leaves the group to be
+# assigned its partitions in a later generation.
+REJOIN_INTERVAL_S = 5.0
 
 
 class PartitionManager:
-    """A member of the store's group of owners.
+    """Joins the store's group of owners and owns the partitions it assigns.
 
     Attributes:
-      held: Partitions owned here, by number.
-      book: Who owns the partitions, as this host has heard.
-      waiting: Tokens that wait, over all hosts.
-      handover: What is left to the next owners, and by the last ones.
-      candidates: Whether this host is to be a member of the group.
-      joined: Whether it is one, as far as it knows.
+      held: Owners of the partitions that this host owns, by partition.
+      book: Owners of all partitions, as far as this host knows.
+      backlog: Tokens of open items of all hosts.
+      handover: Hands partial output to the next owners of partitions.
+      candidates: Decides whether this host is to join the group.
+      joined: Whether this host is in the group, as far as it knows.
       unowned: Set when partitions are found without an owner.
-      generation: Of the group, as last heard.
-      acted_on: Of what this host has last given up and taken over.
-      begun: Epochs in which partitions have been owned here, by number.
-      again: Partitions dealt to this host by the last answer that it must
-        not own again in that generation.
-      anew_at: When this host last left the group to be dealt anew.
-      touched_at: When the store last took this host for a member.
+      generation: Latest generation of the group that this host knows.
+      applied_generation: Generation whose assignment this host last applied.
+      owned_epochs: Last epoch in which this host owned each partition.
+      reassigned: Partitions in the last assignment that this host must not own
+        again in that generation.
+      left_at: When this host last left the group to be assigned its
+        partitions in a later generation.
+      renewed_at: When the last successful renewal of the membership began.
     """
 
     def __init__(self, context: kernel.Context) -> None:
@@ -79,47 +81,47 @@
             context.metrics,
         )
         self.member = f"{context.config.host.name}.{context.incarnation}"
-        self.generation = self.acted_on = 0
+        self.generation = self.applied_generation = 0
         self.held: dict[int, partition_owner.PartitionOwner] = {}
         self.book = owner_cache.OwnerCache(self.members.own_name)
-        self.seek_at = 0.0
-        self.seeking: asyncio.Task[None] | None = None
-        self.waiting = backlog_gossip.BacklogGossip(context, self.held)
+        self.next_query_at = 0.0
+        self.owner_query: asyncio.Task[None] | None = None
+        self.backlog = backlog_gossip.BacklogGossip(context, self.held)
         self.handover = handover.Handover(context, self.held)
-        self.touched_at = -KEEP_S
+        self.renewed_at = -KEEP_S
         self.candidates = owner_candidates.OwnerCandidates(
             self.members.own_name, self.ledger.parts, self.clock.monotonic()
         )
         self.joined = False
         self.unowned = asyncio.Event()
-        self.begun: dict[int, int] = {}
-        self.again: set[int] = set()
-        self.anew_at = -ANEW_EVERY_S
+        self.owned_epochs: dict[int, int] = {}
+        self.reassigned: set[int] = set()
+        self.left_at = -REJOIN_INTERVAL_S
         self.draining = False
         self.gauges = item_gauges.ItemGauges(context, self.held)
         self.task: asyncio.Task[None] | None = None
-        self.look_task: asyncio.Task[None] | None = None
+        self.gauges_task: asyncio.Task[None] | None = None
 
     @property
     def known(self) -> dict[int, owner_cache.OwnerClaim]:
-        """Newest claim of an owner, by partition."""
+        """Latest claim of an owner, by partition."""
         return self.book.known
 
     def start(self) -> None:
-        """Join the group and take what it deals."""
-        self.members.on_fact(OWNER, self.on_owner)
-        self.waiting.start()
+        """Start to join the group and to own assigned partitions."""
+        self.members.on_fact(OWNER, self.on_owner_fact)
+        self.backlog.start()
         self.handover.start()
         loop = asyncio.get_running_loop()
         self.task = loop.create_task(
             tasks.forever("membership of owners", self.keep_membership)
         )
-        self.look_task = loop.create_task(
+        self.gauges_task = loop.create_task(
             tasks.forever("gauges of open items", self.gauges.run)
         )
 
     async def keep_membership(self) -> None:
-        """Be a member of the group whenever this host is a candidate."""
+        """Stay in the group as long as this host is to be a member."""
         while not self.draining:
             offers = self.offers()
             if offers:
@@ -127,7 +129,7 @@
             elif self.joined:
                 await self.withdraw()
             fast = offers or not self.members.introduced
-            pause_s = JOIN_EVERY_S if fast else RANK_EVERY_S
+            pause_s = JOIN_EVERY_S if fast else RANK_CHECK_INTERVAL_S
             with contextlib.suppress(TimeoutError):
                 async with asyncio.timeout(pause_s):
                     await self.unowned.wait()
@@ -136,7 +138,7 @@
     def offers(self) -> bool:
         """Return whether this host is to be a member of the group now."""
         if self.held:
-            # What is owned stays where it is.
+            # Partitions are not moved only because the rank has changed.
             return True
         return self.candidates.offers(
             self.members.possible("host"),
@@ -146,7 +148,7 @@
         )
 
     async def withdraw(self) -> None:
-        """Leave the group, in which this host owns nothing."""
+        """Leave the group while this host owns no partition."""
         try:
             await self.ledger.leave(self.member)
         except errors.LogError as error:
@@ -155,85 +157,86 @@
         self.joined = False
 
     async def join(self) -> None:
-        """Renew the membership at the store, and take what it assigns."""
-        begun_at = self.clock.monotonic()
+        """Renew the membership at the store and apply its assignment."""
+        started_at = self.clock.monotonic()
         try:
             found = await self.ledger.join(
                 self.member, self.generation, KEEP_S
             )
         except errors.LogError as error:
-            LOG.debug("Not joined: {}", error)
+            LOG.debug("Could not join the group: {}", error)
             return
         self.joined = True
-        gap = begun_at - self.touched_at > KEEP_S
+        gap = started_at - self.renewed_at > KEEP_S
         before, self.generation = (
             self.generation,
             max(self.generation, found.generation),
         )
-        self.touched_at = begun_at
+        self.renewed_at = started_at
         if gap or found.generation > before + 1:
             await self.confirm_all(found.generation > before)
         if self.draining:
             return
-        self.acted_on = self.generation
+        self.applied_generation = self.generation
         for part in set(self.held) - found.parts:
             LOG.notice("Partition {} is dealt to another.", part)
-            self.give_up(self.held.pop(part))
-        dealt = found.parts - set(self.held)
-        again = {
+            self.stop_owner(self.held.pop(part))
+        assigned = found.parts - set(self.held)
+        reassigned = {
             part
-            for part in dealt
-            if self.begun.get(part, 0) >= found.generation
+            for part in assigned
+            if self.owned_epochs.get(part, 0) >= found.generation
         }
-        for part in dealt - again:
+        for part in assigned - reassigned:
             self.take(part, found.generation)
-        # Twice in a row: what was lost between the store's answer and now is
-        # not dealt to this host any more when it asks again.
-        still, self.again = again & self.again, again
-        if still:
-            await self.join_anew(still)
-
-    async def join_anew(self, again: set[int]) -> None:
-        """Leave the group, so that it deals in a later generation.
-
-        A partition that was given up here and is still dealt to this host
-        cannot be owned again in the same epoch: the store knows the appends
-        of an epoch by number. It would take the first ones of a new owner
-        for repeats of the old one's, say that they are kept, and keep
-        nothing of them.
+        # Leave only after two such answers in a row: a partition lost after
+        # the store had answered is missing from the next assignment.
+        repeated, self.reassigned = reassigned & self.reassigned, reassigned
+        if repeated:
+            await self.rejoin(repeated)
+
+    async def rejoin(self, reassigned: set[int]) -> None:
+        """Leave the group to be assigned partitions in a later generation.
+
+        A partition that was released here and is still assigned to this host
+        must not be owned again in the same epoch: the store identifies the
+        appends of an epoch by sequence number. It would take the first
+        appends of the new owner for repeats of earlier ones, acknowledge them
+        and store nothing.
         """
         now = self.clock.monotonic()
-        if now - self.anew_at < ANEW_EVERY_S:
+        if now - self.left_at < REJOIN_INTERVAL_S:
             return
-        self.anew_at = now
+        self.left_at = now
         LOG.notice(
-            "Leaves the group to own partitions {} in a later epoch.",
-            sorted(again),
+            "Leaving the group to own partitions {} in a later epoch.",
+            sorted(reassigned),
         )
         for owner in list(self.held.values()):
-            self.give_up(owner)
+            self.stop_owner(owner)
         self.held.clear()
         try:
             await self.ledger.leave(self.member)
         except errors.LogError as error:
             LOG.info("Could not leave the group: {}", error)
 
-    def give_up(self, owner: partition_owner.PartitionOwner) -> None:
-        """Stop owning a partition; the next owner gets what is under way."""
+    def stop_owner(self, owner: partition_owner.PartitionOwner) -> None:
+        """Stop an owner and save the partial output of its running items."""
         self.handover.leave(owner)
         owner.stop()
 
     async def confirm_all(self, changed: bool) -> None:
-        """Keep only partitions that no other has owned meanwhile.
+        """Release partitions that another host may have owned meanwhile.
 
-        The group may have gone on without this host, or dealt all anew
-        twice: what is its own again may have had another owner, whose
-        jobs and ends it has not read. A host that stood still does not
-        see the gap on its own clock, but in the group's generation.
+        The group may have removed this host, or reassigned partitions twice:
+        one that is assigned here again may have had another owner, whose
+        records this host has not read. A host that was paused may not notice
+        the gap on its own clock, but sees it in the group's generation.
 
         Args:
-          changed: Whether the generation has grown meanwhile. If not, all
-            is still dealt as it was, and silence of the store says nothing.
+          changed: Whether the generation has grown meanwhile. If not, the
+            assignment is unchanged, and partitions are kept even if the store
+            does not respond.
         """
         left = [
             owner
@@ -241,65 +244,72 @@
             if owner.ready.is_set() and not owner.lost
         ]
         for _ in range(CONFIRM_TRIES):
-            # All at once, and the membership beside them: one after the
-            # other, each with its tries, they took longer than it lasts.
+            # Concurrently, and together with a renewal of the membership: in
+            # sequence, with retries, they outlasted the membership.
             known = await asyncio.gather(
-                *(self.confirmed(owner) for owner in left), self.renew()
+                *(self.check_epoch(owner) for owner in left), self.renew()
             )
             pairs = list(zip(left, known, strict=False))
             for owner, found in pairs:
                 if found is False:
-                    self.give_away(owner)
+                    self.release(owner)
             left = [owner for owner, found in pairs if found is None]
             if not left:
                 return
         for owner in left:
             LOG.notice("Partition {} could not be confirmed.", owner.part)
             if changed:
-                self.give_away(owner)
+                self.release(owner)
 
-    def give_away(self, owner: partition_owner.PartitionOwner) -> None:
-        """Give a partition up that another may have owned meanwhile."""
-        self.give_up(owner)
+    def release(self, owner: partition_owner.PartitionOwner) -> None:
+        """Release a partition that another host may have owned meanwhile."""
+        self.stop_owner(owner)
         if self.held.get(owner.part) is owner:
             del self.held[owner.part]
 
-    async def confirmed(
+    async def check_epoch(
         self, owner: partition_owner.PartitionOwner
     ) -> bool | None:
-        """Return whether the store confirms an owner's epoch; None if silent.
+        """Return whether the store confirms an epoch; None if unknown.
 
-        Its answers may be lost; given up after the first, all items under
-        way would begin anew at each lost answer.
+        Errors do not count as a loss of ownership: answers may be lost, and
+        releasing the partition each time would restart its running items.
         """
         try:
             await owner.confirm()
         except errors.LogFenced:
             return False
         except errors.LogError as error:
-            LOG.info("Partition {} not confirmed: {}", owner.part, error)
+            LOG.info(
+                "Epoch {} of partition {} not confirmed: {}",
+                owner.epoch,
+                owner.part,
+                error,
+            )
             return None
         return True
 
     async def renew(self) -> None:
-        """Stay a member while partitions are confirmed.
+        """Renew the membership while partitions are confirmed.
 
-        What the store deals is acted upon by the next call; this one does not
-        say that it has been.
+        The assignment in the answer is ignored and not acknowledged; the next
+        call to ``join`` applies it.
         """
-        begun_at = self.clock.monotonic()
+        started_at = self.clock.monotonic()
         try:
-            await self.ledger.join(self.member, self.acted_on, KEEP_S)
+            await self.ledger.join(
+                self.member, self.applied_generation, KEEP_S
+            )
         except errors.LogError as error:
-            LOG.debug("Not renewed: {}", error)
+            LOG.debug("Could not renew the membership: {}", error)
             return
-        if begun_at - self.touched_at <= KEEP_S:
-            # Else the group may have gone on without this host once more,
-            # which the next call is to see.
-            self.touched_at = begun_at
+        if started_at - self.renewed_at <= KEEP_S:
+            # Otherwise the group may have removed this host once more, which
+            # the next call to join must detect.
+            self.renewed_at = started_at
 
     def take(self, part: int, epoch: int) -> None:
-        """Take a partition over."""
+        """Start to take over a partition."""
         owner = partition_owner.PartitionOwner(
             self.parts,
             self.ledger,
@@ -313,7 +323,7 @@
         owner.start()
 
     def on_lost(self, owner: partition_owner.PartitionOwner) -> None:
-        """Forget a partition that another has taken over."""
+        """Remove a partition that another host has taken over."""
         self.handover.leave(owner)
         claim = self.known.get(owner.part)
         if claim is not None and claim.epoch > owner.epoch:
@@ -322,59 +332,65 @@
             del self.held[owner.part]
 
     def on_change(self, part: int) -> None:
-        """Publish that a partition has been taken over."""
-        self.waiting.counts_changed = True
+        """Publish the ownership of a partition once it has been read."""
+        self.backlog.counts_changed = True
         owner = self.held.get(part)
         if owner is None or not owner.ready.is_set():
             return
-        self.begun[part] = owner.epoch
+        self.owned_epochs[part] = owner.epoch
         claim = self.known.get(part)
         if claim is None or claim[:2] != (owner.epoch, self.members.own_name):
             key = f"{part}/{self.members.own_name}"
-            self.members.publish(OWNER, key, owner.epoch, FACT_KEEP_S)
+            self.members.publish(OWNER, key, owner.epoch, FACT_TTL_S)
             self.handover.give(part, self.members.own_name)
 
-    def on_owner(self, fact: membership.Fact) -> None:
-        """Take note of who owns a partition."""
+    def on_owner_fact(self, fact: membership.Fact) -> None:
+        """Apply a published claim to own a partition."""
         number, _, name = fact.key.partition("/")
         part, epoch = int(number), int(fact.value)
         claim = owner_cache.OwnerClaim(epoch, name, self.clock.monotonic())
         newest = self.book.on_claim(part, claim)
         owner = self.held.get(part)
         if owner is not None and epoch > owner.epoch:
-            # The store does not reach this host, or it would have said so;
-            # its items must not go on beside those of the new owner.
-            LOG.notice("Partition {} has owner {}.", part, name)
+            # This host has not heard of it from the store, which may be
+            # unreachable; it must not run items in parallel with the new
+            # owner.
+            LOG.notice(
+                "Releasing partition {}: {} owns it in epoch {}.",
+                part,
+                name,
+                epoch,
+            )
             del self.held[part]
-            self.give_up(owner)
+            self.stop_owner(owner)
         if newest and name != self.members.own_name:
             self.handover.give(part, name)
 
-    async def seek(self, pause_s: float) -> None:
-        """Wait before a call looks for an owner again; ask the store if due.
+    async def wait_for_owner(self, pause_s: float) -> None:
+        """Wait before a call is retried; query the owners if that is due.
 
-        The wait ends early once the store has answered.
+        The wait ends early once a pending query has been answered.
 
         Args:
-          pause_s: Longest wait.
+          pause_s: Maximum wait.
         """
         now = self.clock.monotonic()
-        if self.seeking is None and now >= self.seek_at:
-            self.seek_at = now + SEEK_EVERY_S
-            self.seeking = asyncio.get_running_loop().create_task(
-                self.ask_store()
+        if self.owner_query is None and now >= self.next_query_at:
+            self.next_query_at = now + OWNER_QUERY_INTERVAL_S
+            self.owner_query = asyncio.get_running_loop().create_task(
+                self.query_owners()
             )
-        if self.seeking is None:
+        if self.owner_query is None:
             await asyncio.sleep(pause_s)
         else:
-            await asyncio.wait({self.seeking}, timeout=pause_s)
+            await asyncio.wait({self.owner_query}, timeout=pause_s)
 
-    async def ask_store(self) -> None:
-        """Ask the store who owns what."""
+    async def query_owners(self) -> None:
+        """Query the store for the owners of all partitions."""
         try:
             found = await self.ledger.owners()
         except errors.LogError as error:
-            LOG.info("The store does not say who owns what: {}", error)
+            LOG.info("Could not query the owners of partitions: {}", error)
         else:
             program = self.context.program
             self.book.on_assignment(
@@ -387,15 +403,18 @@
                 self.candidates.note_unowned(self.clock.monotonic())
                 self.unowned.set()
         finally:
-            self.seeking = None
+            self.owner_query = None
 
     @property
-    def lapsed(self) -> bool:
-        """Whether another may own what this host takes for its own."""
-        return self.clock.monotonic() - self.touched_at > KEEP_S
+    def membership_lapsed(self) -> bool:
+        """Whether the group may have removed this host.
+
+        Another host may then own partitions that this one still holds.
+        """
+        return self.clock.monotonic() - self.renewed_at > KEEP_S
 
     async def drain(self) -> None:
-        """Give the partitions up, so that others go on at once."""
+        """Release all partitions, so that other hosts take over at once."""
         if self.draining:
             return
         self.draining = True
@@ -404,8 +423,10 @@
                 self.handover.leave(owner)
                 await owner.close()
             except Exception as error:
-                # The others must be given up all the same.
-                LOG.error("Partition {} not closed: {!r}", owner.part, error)
+                # The remaining partitions must still be released.
+                LOG.error(
+                    "Closing partition {} failed: {!r}", owner.part, error
+                )
         self.held.clear()
         try:
             await self.ledger.leave(self.member)
@@ -413,9 +434,9 @@
             LOG.info("Could not leave the group: {}", error)
 
     def stop(self) -> None:
-        """End without handing over, as a crash would."""
-        self.waiting.stop()
-        for task in (self.task, self.look_task, self.seeking):
+        """Stop without a handover, as in a crash."""
+        self.backlog.stop()
+        for task in (self.task, self.gauges_task, self.owner_query):
             if task is not None:
                 task.cancel()
         for owner in list(self.held.values()):
--- a/tests/test_owner_cache.py
+++ b/tests/test_owner_cache.py
@@ -137,7 +137,11 @@
         )
         assert {code_of(body) for _, _, body in replies} == {"no_owner"}
         passed_s = asyncio.get_running_loop().time() - begun_at
-        assert 0 < len(asks) <= 1 + passed_s / partition_manager.SEEK_EVERY_S
+        assert (
+            0
+            < len(asks)
+            <= 1 + passed_s / partition_manager.OWNER_QUERY_INTERVAL_S
+        )
 
 
 async def test_a_call_that_finds_no_owner_tells_why():
@@ -146,7 +150,7 @@
         router = host.part(job_router.JobRouter)
         platform.store.refuse_member = router.owners.member
         for owner in list(router.owners.held.values()):
-            router.owners.give_up(owner)
+            router.owners.stop_owner(owner)
         router.owners.held.clear()
         status, headers, body = await host.call("GET", "/lots/j?after=0")
         assert (status, code_of(body)) == (503, "no_owner")
--- a/tests/test_owner_candidates.py
+++ b/tests/test_owner_candidates.py
@@ -106,7 +106,7 @@
         async with asyncio.timeout(20):
             while not any(router.owners.held for router in rest):
                 for router in rest:
-                    await router.owners.seek(0.05)
+                    await router.owners.wait_for_owner(0.05)
 
 
 async def test_hosts_of_the_list_count_until_they_are_known():
