--- a/camphortray/partition_owner.py
+++ b/camphortray/partition_owner.py
@@ -244,7 +244,7 @@
           RecordError: The result is too large to be stored.
         """
         record_bytes = self.ledger.record_bytes
-        size = len(result.text) + partition_records.RESULT_OVERHEAD
+        size = len(result.text) + partition_records.RESULT_OVERHEAD_BYTES
         if size > self.ledger.append_bytes:
             raise errors.RecordError(
                 f"result of {size} bytes exceeds the append limit of"
--- a/camphortray/partition_records.py
+++ b/camphortray/partition_records.py
@@ -1,7 +1,7 @@
-"""Records of a partition of batch jobs, as they stand in the ledger.
+"""Records of a partition of batch jobs, as stored in the ledger.
 
-- ``j/JOB/N``: part N of an accepted job, all parts in one append;
-- ``r/JOB/N``: results whose first one stands at position N;
+- ``j/JOB/N``: part N of an accepted job; all parts are in one append;
+- ``r/JOB/N``: results, the first of which is at position N;
 - ``t/JOB/N.M``: piece M of the text of the result at position N;
 - ``e/JOB``: the job was ended by its caller.
 """
@@ -27,12 +27,12 @@
 from camphortray import errors
 from camphortray import ledger as ledgers
 
-# What the framing of a record adds to the bytes of its items, at most.
-ITEM_OVERHEAD = 256
-# What a record adds to the text of its result, in bytes, about.
-RESULT_OVERHEAD = 128
-# Most bytes of a text: other hosts ask its owner for it, in one message, which
-# holds about a megabyte.
+# Upper bound, in bytes, on what encoding adds to an item and to a record.
+ITEM_OVERHEAD_BYTES = 256
+# Approximate number of bytes that a record adds to the text of its result.
+RESULT_OVERHEAD_BYTES = 128
+# Size limit of a result's text: the owner sends it to other hosts in one
+# message, which holds about a megabyte.
 TEXT_BYTES = 900_000
 
 
@@ -45,14 +45,14 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Item:
-    """One item as its caller sent it.
+    """One item as submitted by the caller.
 
     Attributes:
-      id: Unique in its job.
-      target: Path and query at the engine.
-      headers: Travel to the engine as they are.
-      body: Decoded bytes.
-      tokens: Of prompt and longest output together.
+      id: Id, unique in the job.
+      target: Path and query of the request to the engine.
+      headers: Headers, sent to the engine unchanged.
+      body: Body of the request, decoded.
+      tokens: Tokens of the prompt plus the longest possible output.
     """
 
     id: str
@@ -64,14 +64,15 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Result:
-    """How an item ended.
+    """The result of an item.
 
     Attributes:
-      item: Its place among the items.
-      state: How.
-      text: Data of all its events, joined by line feeds.
-      pieces: In how many records of their own the text is kept, if it is
-        larger than one; it is empty here then. 0 once they are read.
+      item: Index of the item in its job.
+      state: How the item ended.
+      text: Data of all events, joined by line feeds; empty if ``pieces``
+        is not 0.
+      pieces: Number of separate records that hold the text, if it is larger
+        than a record; 0 once they have been read.
     """
 
     item: int
@@ -85,14 +86,14 @@
     """Part of an accepted job.
 
     Attributes:
-      job: Its id.
-      host_name: Of the caller's ``Host`` header.
-      target: Path under which it was sent.
-      taken_at: When, in seconds since 1970.
-      total: Items of the whole job.
-      first: Place of the first item of this part.
+      job: Id of the job.
+      host_name: Value of the caller's ``Host`` header.
+      target: Request path to which the job was submitted.
+      taken_at: When the job was accepted, in seconds since 1970.
+      total: Number of items of the whole job.
+      first: Index of the first item of this part.
       items: Items of this part.
-      workspace: Whose it is; empty if nobody's in particular.
+      workspace: Workspace that owns the job; empty if it belongs to none.
     """
 
     job: str
@@ -113,27 +114,27 @@
 def accept_records(
     job: JobPart, record_bytes: int
 ) -> list[ledgers.LedgerRecord]:
-    """Return the records that accept a job, each within a size.
+    """Return the records that store an accepted job.
 
     Args:
-      job: With all its items.
-      record_bytes: Most bytes of one record.
+      job: The job, with all its items.
+      record_bytes: Size limit of a record.
 
     Raises:
-      RecordError: one item alone is too large.
+      RecordError: An item does not fit in a record.
     """
     groups: list[list[Item]] = [[]]
-    size = ITEM_OVERHEAD
+    size = ITEM_OVERHEAD_BYTES
     for item in job.items:
         item_size = size_of(item)
-        if item_size + ITEM_OVERHEAD > record_bytes:
+        if item_size + ITEM_OVERHEAD_BYTES > record_bytes:
             raise errors.RecordError(
                 f"item {item.id!r} is larger than a record may be",
                 step="accept",
             )
         if groups[-1] and size + item_size > record_bytes:
             groups.append([])
-            size = ITEM_OVERHEAD
+            size = ITEM_OVERHEAD_BYTES
         groups[-1].append(item)
         size += item_size
     records = []
@@ -147,17 +148,17 @@
 
 
 def size_of(item: Item) -> int:
-    """Return the bytes of an item in a record, at most."""
+    """Return an upper bound on the bytes of an item in a record."""
     texts = [item.id, item.target]
     texts += [text for pair in item.headers for text in pair]
     size = sum(len(text.encode()) + 5 for text in texts)
-    return size + len(item.body) + ITEM_OVERHEAD
+    return size + len(item.body) + ITEM_OVERHEAD_BYTES
 
 
 def result_record(
     job: str, position: int, results: tuple[Result, ...]
 ) -> ledgers.LedgerRecord:
-    """Return the record of results that stand from a position on."""
+    """Return the record of results that start at a position."""
     value = ENCODER.encode(results)
     return ledgers.LedgerRecord(f"r/{job}/{position:06d}", value)
 
@@ -168,7 +169,7 @@
 
 
 def split_key(key: str) -> tuple[str, str, str]:
-    """Return kind, job and number of a key; the id may have slashes.
+    """Return the kind, job id and number in a key; the id may have slashes.
 
     >>> split_key("r/a/b/000001"), split_key("e/a/b")
     (('r', 'a/b', '000001'), ('e', 'a/b', ''))
--- a/camphortray/partition_state.py
+++ b/camphortray/partition_state.py
@@ -126,7 +126,9 @@
         return ()
     position = len(job.results) + len(ahead)
     text_bytes = (
-        record_bytes - len(job.id.encode()) - partition_records.RESULT_OVERHEAD
+        record_bytes
+        - len(job.id.encode())
+        - partition_records.RESULT_OVERHEAD_BYTES
     )
     if len(result.text) <= text_bytes:
         return (partition_records.result_record(job.id, position, (result,)),)
