--- a/camphortray/job_router.py
+++ b/camphortray/job_router.py
@@ -1,4 +1,4 @@
-"""Calls on batch jobs, at any host, brought to the owner of the job."""
+"""Routes calls on batch jobs, at any host, to the owner of the job."""
 
 __all__ = ["JobRouter"]
 
@@ -24,15 +24,14 @@
 from camphortray import peers
 
 LOG = logs.logger("jobs")
-# Time to look for an owner that answers, in seconds, and the pause from
-# one try to the next.
-FIND_S = 1.2
+# Time limit for finding an owner that answers; pause between attempts.
+FIND_TIMEOUT_S = 1.2
 FIND_PAUSE_S = 0.1
-# The same for a call that waits for the store, which may be away.
-WRITE_FIND_S = 3.0
-# Time for an owner to answer a call that it does not hold on purpose.
-ANSWER_S = 0.8
-RETRY_S = 0.5
+# The same limit for calls that write to the store, which may be unavailable.
+WRITE_FIND_TIMEOUT_S = 3.0
+# Time limit for the answer of an owner, except for long polling.
+ANSWER_TIMEOUT_S = 0.8
+RETRY_AFTER_S = 0.5
 
 Ask = Any
 Handler = Callable[[partition_owner.PartitionOwner, Any], Awaitable[Any]]
@@ -40,10 +39,10 @@
 
 @kernel.PARTS.register("host")
 class JobRouter(kernel.Part):
-    """Brings calls on jobs to the owners of their partitions.
+    """Routes calls on jobs to the owners of their partitions.
 
     Attributes:
-      owners: Partitions owned here, and who owns the others.
+      owners: Manages the partitions of this host and tracks other owners.
     """
 
     name: ClassVar[str] = "job_router"
@@ -77,7 +76,7 @@
         self.owners.start()
 
     async def drain(self) -> None:
-        """Give the partitions up, so that others go on at once."""
+        """Release all partitions, so that other hosts take over at once."""
         await self.owners.drain()
 
     async def stop(self) -> None:
@@ -91,10 +90,10 @@
         """Accept a job.
 
         Raises:
-          Refused: it is not accepted, or that is not known.
+          Refused: The job is not accepted, or it is unknown whether it is.
         """
         ask = jobmessages.SubmitAsk(part)
-        await self.call(part.job, ask, ANSWER_S, WRITE_FIND_S)
+        await self.call(part.job, ask, ANSWER_TIMEOUT_S, WRITE_FIND_TIMEOUT_S)
 
     async def page(
         self,
@@ -106,17 +105,17 @@
         """Return results of a job.
 
         Args:
-          job: Its id.
+          job: Id of the job.
           after: Position of the first result.
-          wait_s: Time to wait for one if there is none yet.
-          workspace: Whose jobs the caller may see; None for all.
+          wait_s: Time to wait for a result if there is none yet.
+          workspace: Workspace whose jobs the caller may see; None for all.
 
         Raises:
-          Refused: there is no such job, or that cannot be known, or it is
-            another workspace's.
+          Refused: There is no such job, it is unknown whether there is, or
+            the job belongs to another workspace.
         """
         ask = jobmessages.PageAsk(job, after, wait_s, workspace)
-        reply = await self.read(job, ask, ANSWER_S + wait_s)
+        reply = await self.read(job, ask, ANSWER_TIMEOUT_S + wait_s)
         assert isinstance(reply, jobmessages.PageReply)
         return reply
 
@@ -125,22 +124,22 @@
     ) -> bytes:
         """Return the body of an item; errors as ``page``."""
         ask = jobmessages.BodyAsk(job, item, workspace)
-        reply = await self.read(job, ask, ANSWER_S)
+        reply = await self.read(job, ask, ANSWER_TIMEOUT_S)
         assert isinstance(reply, jobmessages.BodyReply)
         return reply.body
 
     async def end(self, job: str, workspace: str | None = None) -> None:
         """End a job; errors as ``page``."""
         ask = jobmessages.EndAsk(job, workspace)
-        await self.call(job, ask, ANSWER_S, WRITE_FIND_S)
+        await self.call(job, ask, ANSWER_TIMEOUT_S, WRITE_FIND_TIMEOUT_S)
 
     async def read(self, job: str, ask: Ask, timeout_s: float) -> Any:
-        """Bring a call that changes nothing to the owner of a job.
+        """Route a read-only call to the owner of a job.
 
-        Where it is not known what became of it, it may simply come again.
+        If its outcome is unknown, the caller is told to retry.
 
         Raises:
-          Refused: there is no such job, or that cannot be known.
+          Refused: The owner refuses the call, or no owner answers.
         """
         try:
             return await self.call(job, ask, timeout_s)
@@ -150,47 +149,57 @@
             raise no_owner(str(refusal)) from refusal
 
     async def call(
-        self, job: str, ask: Ask, timeout_s: float, find_s: float = FIND_S
+        self,
+        job: str,
+        ask: Ask,
+        timeout_s: float,
+        find_s: float = FIND_TIMEOUT_S,
     ) -> Any:
-        """Bring a call to the owner of a job, again if an answer is lost.
+        """Route a call to the owner of a job; retry if an answer is lost.
 
-        Each call may be repeated: the same job is accepted once.
+        All calls are idempotent: a job submitted twice is accepted once.
 
         Args:
-          job: Its id.
-          ask: What to ask the owner.
-          timeout_s: Time for its answer.
-          find_s: Time to look for an owner that answers.
+          job: Id of the job.
+          ask: Request to the owner.
+          timeout_s: Time limit for one answer.
+          find_s: Time limit for finding an owner that answers.
+
+        Raises:
+          Refused: The owner refuses the call, or no owner answers.
         """
         part = self.part_of(job)
-        until = self.clock.monotonic() + find_s
-        unsure = False
+        deadline = self.clock.monotonic() + find_s
+        maybe_applied = False
         while True:
             try:
                 reply = await self.ask_owner(part, ask, timeout_s)
             except errors.MessageError as error:
-                unsure = True
-                refusal = unsure_of(error)
+                maybe_applied = True
+                refusal = outcome_unknown(error)
             except owner_cache.NoOwner as error:
-                refusal = self.miss(part, error.miss)
+                refusal = self.refuse_miss(part, error.miss)
             else:
                 if not isinstance(reply, jobmessages.JobRefusal):
                     return reply
                 refusal = reply.error()
                 if refusal.code != "no_owner":
-                    raise unsure_of(refusal) if unsure else refusal
-            if self.clock.monotonic() >= until:
-                self.log_missed(job, part, refusal)
-                # An earlier try may have been kept: promise nothing.
-                raise unsure_of(refusal) if unsure else refusal
+                    raise (
+                        outcome_unknown(refusal) if maybe_applied else refusal
+                    )
+            if self.clock.monotonic() >= deadline:
+                self.log_owner_miss(job, part, refusal)
+                # An earlier attempt may have taken effect, so a refusal that
+                # says otherwise would be wrong.
+                raise outcome_unknown(refusal) if maybe_applied else refusal
             await self.owners.wait_for_owner(FIND_PAUSE_S)
 
     async def ask_owner(self, part: int, ask: Ask, timeout_s: float) -> Any:
         """Ask the owner of a partition, which may be this host.
 
         Raises:
-          NoOwner: none is known that could be asked.
-          MessageError: it did not answer.
+          NoOwner: No owner is known that could be asked.
+          MessageError: The owner did not answer.
         """
         if part in self.owners.held:
             return await self.handle(self.owners.held[part], ask)
@@ -211,12 +220,12 @@
         owner = self.owners.held.get(part)
         if owner is None:
             return jobmessages.JobRefusal.of(
-                self.miss(part, owner_cache.Miss.ELSEWHERE)
+                self.refuse_miss(part, owner_cache.Miss.ELSEWHERE)
             )
         return await self.handle(owner, ask)
 
-    def miss(self, part: int, why: owner_cache.Miss) -> errors.Refused:
-        """Return the refusal of a call that found no owner, and count it."""
+    def refuse_miss(self, part: int, why: owner_cache.Miss) -> errors.Refused:
+        """Count a call that found no owner; return its refusal."""
         self.metrics.inc(
             "camphortray_owner_misses_total",
             "Tries of calls on jobs that found no owner to ask, by why.",
@@ -224,8 +233,10 @@
         )
         return no_owner(str(owner_cache.NoOwner(part, why)))
 
-    def log_missed(self, job: str, part: int, refusal: errors.Refused) -> None:
-        """Log what a call that found no owner in its time was decided by."""
+    def log_owner_miss(
+        self, job: str, part: int, refusal: errors.Refused
+    ) -> None:
+        """Log what this host knew when a call found no owner in time."""
         book = self.owners.book
         claim = book.known.get(part)
         LOG.notice(
@@ -250,7 +261,7 @@
         """Answer a call as the owner."""
         if not owner.ready.is_set() or owner.lost:
             return jobmessages.JobRefusal.of(
-                self.miss(owner.part, owner_cache.Miss.NOT_READ)
+                self.refuse_miss(owner.part, owner_cache.Miss.NOT_READ)
             )
         try:
             if isinstance(ask, jobmessages.SubmitAsk):
@@ -272,21 +283,24 @@
         known = ask.job.job in owner.book.jobs
         if not known and not await self.owners.backlog.has_room(ask.job):
             LOG.info(
-                "Job {} refused: no room on its route, {} items.",
+                "Job {} refused: quota of its route exceeded, {} items.",
                 ask.job.job,
                 len(ask.job.items),
             )
             raise errors.Refused(
-                429, "quota", "too much waits already", retry_after=RETRY_S
+                429,
+                "quota",
+                "too much waits already",
+                retry_after=RETRY_AFTER_S,
             )
         try:
             await owner.submit(ask.job)
         except errors.RecordError as error:
             raise errors.Refused(413, "too_large", str(error)) from error
         except errors.LogRefused as error:
-            raise no_store(error) from error
+            raise store_unavailable(error) from error
         except errors.LogError as error:
-            raise unsure_of(error) from error
+            raise outcome_unknown(error) from error
         job = owner.book.jobs.get(ask.job.job)
         if job is not None:
             check_workspace(job, ask.job.workspace)
@@ -303,16 +317,16 @@
     async def on_page(
         self, owner: partition_owner.PartitionOwner, ask: jobmessages.PageAsk
     ) -> jobmessages.PageReply:
-        """Give results of a job."""
+        """Return results of a job."""
         found = await owner.page(ask.job, ask.after, ask.wait_s)
         if found is None:
-            await self.sure(owner)
+            await self.check_ownership(owner)
             raise unknown_job(ask.job)
         job, results = found
         check_workspace(job, ask.workspace)
         if not results and self.owners.membership_lapsed:
-            # Another owner may have more by now.
-            raise self.miss(owner.part, owner_cache.Miss.OUT_OF_TOUCH)
+            # Another owner may have stored results by now.
+            raise self.refuse_miss(owner.part, owner_cache.Miss.OUT_OF_TOUCH)
         return jobmessages.PageReply(
             len(job.items),
             ask.after,
@@ -325,15 +339,15 @@
     async def on_body(
         self, owner: partition_owner.PartitionOwner, ask: jobmessages.BodyAsk
     ) -> jobmessages.BodyReply:
-        """Give the body of an item that has no result yet."""
+        """Return the body of an item that has no result yet."""
         job = owner.book.jobs.get(ask.job)
         if job is None:
-            await self.sure(owner)
+            await self.check_ownership(owner)
             raise unknown_job(ask.job)
         check_workspace(job, ask.workspace)
-        place = job.index_of(ask.item)
-        item = job.items[place] if place is not None else None
-        if item is None or job.ended or place in job.listed:
+        index = job.index_of(ask.item)
+        item = job.items[index] if index is not None else None
+        if item is None or job.ended or index in job.listed:
             raise errors.Refused(404, "unknown_item", "no such item waits")
         return jobmessages.BodyReply(item.body)
 
@@ -343,23 +357,25 @@
         """End a job."""
         job = owner.book.jobs.get(ask.job)
         if job is None:
-            await self.sure(owner)
+            await self.check_ownership(owner)
             raise unknown_job(ask.job)
         check_workspace(job, ask.workspace)
         try:
             await owner.end(ask.job)
         except errors.LogRefused as error:
-            raise no_store(error) from error
+            raise store_unavailable(error) from error
         except errors.LogError as error:
-            raise unsure_of(error) from error
+            raise outcome_unknown(error) from error
         LOG.info("Job {} ended by its caller.", ask.job)
         return jobmessages.Taken()
 
-    async def sure(self, owner: partition_owner.PartitionOwner) -> None:
-        """Make sure that this host knows of all jobs of a partition.
+    async def check_ownership(
+        self, owner: partition_owner.PartitionOwner
+    ) -> None:
+        """Check that this host still owns a partition and knows all its jobs.
 
         Raises:
-          Refused: it may not.
+          Refused: The store did not confirm it.
         """
         try:
             await owner.confirm()
@@ -374,22 +390,22 @@
 
 
 def check_workspace(job: partition_state.Job, workspace: str | None) -> None:
-    """Make sure that a caller may see a job.
+    """Check that a caller may see a job.
 
-    The refusal is no 404, which would say that the job is lost: the key of
-    its caller may just have moved between workspaces.
+    The refusal is not a 404, which would say that the job is lost: the
+    caller's key may have just moved to another workspace.
 
     Args:
       job: The job.
-      workspace: Whose jobs the caller may see; None for all.
+      workspace: Workspace whose jobs the caller may see; None for all.
 
     Raises:
-      Refused: it is another workspace's.
+      Refused: The job belongs to another workspace.
     """
     if workspace is None or job.workspace in ("", workspace):
         return
     LOG.info(
-        "Call on job {} refused: it is another workspace's.",
+        "Call on job {} refused: the job belongs to another workspace.",
         job.id,
         fields={"workspace": workspace, "owner": job.workspace},
     )
@@ -400,16 +416,18 @@
 
 def no_owner(why: str) -> errors.Refused:
     """Return the refusal while a partition changes hands."""
-    return errors.Refused(503, "no_owner", why, retry_after=RETRY_S)
+    return errors.Refused(503, "no_owner", why, retry_after=RETRY_AFTER_S)
 
 
-def no_store(error: Exception) -> errors.Refused:
-    """Return the refusal while the store takes nothing."""
-    return errors.Refused(503, "log_down", str(error), retry_after=RETRY_S)
+def store_unavailable(error: Exception) -> errors.Refused:
+    """Return the refusal of a call that the store did not accept."""
+    return errors.Refused(
+        503, "log_down", str(error), retry_after=RETRY_AFTER_S
+    )
 
 
-def unsure_of(error: Exception) -> errors.Refused:
-    """Return the answer where it is not known what became of a call."""
+def outcome_unknown(error: Exception) -> errors.Refused:
+    """Return the error for a call whose outcome is unknown."""
     return errors.Refused(500, "unknown", str(error), ran="unknown")
 
 
