--- a/camphortray/jobmessages.py
+++ b/camphortray/jobmessages.py
@@ -1,4 +1,4 @@
-"""Messages about batch jobs between hosts and the owners of partitions."""
+"""Messages between hosts and the owners of partitions of batch jobs."""
 
 __all__ = [
     "BodyAsk",
@@ -25,7 +25,7 @@
 @messages.message("job.submit")
 @dataclasses.dataclass(frozen=True, slots=True)
 class SubmitAsk:
-    """Asks the owner to accept a job, with all its items."""
+    """Requests that the owner accept a job, with all its items."""
 
     job: partition_records.JobPart
 
@@ -33,11 +33,13 @@
 @messages.message("job.page")
 @dataclasses.dataclass(frozen=True, slots=True)
 class PageAsk:
-    """Asks the owner for results from a position on.
+    """Requests results of a job from a position on.
 
     Attributes:
-      wait_s: Time to wait for one if there is none yet.
-      workspace: Whose jobs the caller may see; None for all.
+      job: Id of the job.
+      after: Position of the first result.
+      wait_s: Time to wait for a result if there is none yet.
+      workspace: Workspace whose jobs the caller may see; None for all.
     """
 
     job: str
@@ -49,10 +51,12 @@
 @messages.message("job.body")
 @dataclasses.dataclass(frozen=True, slots=True)
 class BodyAsk:
-    """Asks the owner for the body of an item.
+    """Requests the body of an item.
 
     Attributes:
-      workspace: As of ``PageAsk``.
+      job: Id of the job.
+      item: Id of the item.
+      workspace: As in ``PageAsk``.
     """
 
     job: str
@@ -63,10 +67,11 @@
 @messages.message("job.end")
 @dataclasses.dataclass(frozen=True, slots=True)
 class EndAsk:
-    """Asks the owner to end a job.
+    """Requests that the owner end a job.
 
     Attributes:
-      workspace: As of ``PageAsk``.
+      job: Id of the job.
+      workspace: As in ``PageAsk``.
     """
 
     job: str
@@ -76,7 +81,7 @@
 @messages.message("job.taken")
 @dataclasses.dataclass(frozen=True, slots=True)
 class Taken:
-    """Says that what was asked for is kept."""
+    """Acknowledges that a requested change has been stored."""
 
 
 @messages.message("job.page-reply")
@@ -85,9 +90,9 @@
     """Results of a job.
 
     Attributes:
-      total: Items of the job.
-      after: Position of the first result here.
-      results: Ids, states and texts.
+      total: Number of items of the job.
+      after: Position of the first result in this page.
+      results: Item id, state and text of each result.
     """
 
     total: int
@@ -106,7 +111,7 @@
 @messages.message("job.refusal")
 @dataclasses.dataclass(frozen=True, slots=True)
 class JobRefusal:
-    """A refusal on its way to the caller."""
+    """A refusal that is passed on to the caller."""
 
     status: int
     code: str
@@ -116,7 +121,7 @@
 
     @classmethod
     def of(cls, error: errors.Refused) -> "JobRefusal":
-        """Return what travels for a refusal."""
+        """Return the message for a refusal."""
         return cls(
             error.status,
             error.code,
@@ -126,7 +131,7 @@
         )
 
     def error(self) -> errors.Refused:
-        """Return the refusal that travelled."""
+        """Return the refusal that the message stands for."""
         return errors.Refused(
             self.status,
             self.code,
@@ -139,12 +144,12 @@
 @messages.message("job.progress")
 @dataclasses.dataclass(frozen=True, slots=True)
 class ProgressUpdate:
-    """Tells the owner of a partition what the one before has got.
+    """Passes partial output from the previous owner of a partition.
 
     Attributes:
-      part: The partition.
-      job: Id of a job in it.
-      items: Of items that were under way.
+      part: Number of the partition.
+      job: Id of a job of the partition.
+      items: Partial output of items that were running.
     """
 
     part: int
@@ -155,13 +160,13 @@
 @messages.message("job.quota")
 @dataclasses.dataclass(frozen=True, slots=True)
 class QuotaAsk:
-    """Asks for room for the tokens of a job on its route.
+    """Requests quota for the tokens of a job on its route.
 
     Attributes:
       route: Name of the route.
       job: Id of the job.
-      tokens: Of all its items.
-      limit: Tokens that may wait on the route.
+      tokens: Tokens of all items of the job.
+      limit: Limit on the tokens that wait on the route.
     """
 
     route: str
@@ -173,6 +178,6 @@
 @messages.message("job.quota-reply")
 @dataclasses.dataclass(frozen=True, slots=True)
 class QuotaReply:
-    """Says whether there is room."""
+    """Returns whether the quota is granted."""
 
     granted: bool
