--- a/camphortray/handover.py
+++ b/camphortray/handover.py
@@ -1,4 +1,4 @@
-"""Hands what has come of items to the next owner of their partition."""
+"""Hands the partial output of items to the next owner of their partition."""
 
 __all__ = ["Handover"]
 
@@ -14,32 +14,37 @@
 from camphortray import peers
 
 LOG = logs.logger("jobs")
-# Time for which what was left behind is kept for the next owner, in
-# seconds. Beyond it that one has got further by itself.
+# Time for which partial output is kept for the next owner. After that, the
+# next owner has produced more itself.
 KEEP_S = 10.0
-# Bytes of one message, well below what a link takes.
-MESSAGE_BYTES = 200_000
+# Size limit of one message, well below the limit of a link.
+MAX_MESSAGE_BYTES = 200_000
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Behind:
-    """What was under way in a partition when it was given up."""
+class SavedProgress:
+    """The partial output of a partition's items when it was released.
+
+    Attributes:
+      at: Monotonic time of the release.
+      jobs: Partial output of running items, by job id.
+    """
 
     at: float
     jobs: dict[str, list[itemwork.Progress]]
 
 
 class Handover:
-    """What this host has left behind, and what others leave to it.
+    """Sends and receives the partial output of items at changes of ownership.
 
-    Only whole results are kept in the ledger. Without this, each change of
-    an owner, also by a planned restart, begins all items under way anew.
-    It is a help and no promise: whoever is gone hands nothing over, and the
-    next owner does not wait for it.
+    Only complete results are stored in the ledger. Without a handover, each
+    change of ownership, also by a planned restart, restarts all running items.
+    It is best effort: a host that has failed hands nothing over, and the next
+    owner does not wait for it.
 
     Attributes:
-      behind: By partition.
-      owners: Partitions owned here, by number.
+      behind: Partial output that this host has to send, by partition.
+      owners: Owners of the partitions that this host owns, by partition.
     """
 
     def __init__(
@@ -51,32 +56,36 @@
         self.members = context.part(membership.Membership)
         self.links = context.part(peers.Peers)
         self.owners = owners
-        self.on = context.config.experiments.handover
-        self.behind: dict[int, Behind] = {}
+        self.enabled = context.config.experiments.handover
+        self.behind: dict[int, SavedProgress] = {}
 
     def start(self) -> None:
-        """Take what others leave to this host."""
+        """Start to receive partial output from other hosts."""
         self.links.on(jobmessages.ProgressUpdate, self.on_progress)
 
     def leave(self, owner: partition_owner.PartitionOwner) -> None:
-        """Note what is under way before an owner stops."""
+        """Save the partial output of running items before an owner stops."""
         jobs = owner.items.progress()
-        if jobs and self.on:
+        if jobs and self.enabled:
             now = self.clock.monotonic()
-            self.behind[owner.part] = Behind(now, jobs)
+            self.behind[owner.part] = SavedProgress(now, jobs)
 
     def give(self, part: int, name: str) -> None:
-        """Give what was left behind to the member that owns a partition."""
-        left = self.behind.pop(part, None)
+        """Send saved partial output to the member that owns a partition."""
+        saved = self.behind.pop(part, None)
         now = self.clock.monotonic()
-        if left is None or now - left.at > KEEP_S:
+        if saved is None or now - saved.at > KEEP_S:
             return
         updates = [
             jobmessages.ProgressUpdate(part, job, group)
-            for job, items in left.jobs.items()
-            for group in groups(items)
+            for job, items in saved.jobs.items()
+            for group in split_items(items)
         ]
-        LOG.info("Hands {} items on to {}.", count(updates), name)
+        LOG.info(
+            "Sending the partial output of {} items to {}.",
+            count_items(updates),
+            name,
+        )
         if name == self.members.own_name:
             for update in updates:
                 self.on_update(update)
@@ -91,34 +100,34 @@
     async def on_progress(
         self, sender: peers.Sender, update: jobmessages.ProgressUpdate
     ) -> None:
-        """Take what the owner before has left."""
+        """Receive partial output from the previous owner of a partition."""
         self.on_update(update)
 
     def on_update(self, update: jobmessages.ProgressUpdate) -> None:
-        """Let the owner here go on from there."""
+        """Resume items from partial output if this host owns the partition."""
         owner = self.owners.get(update.part)
         if owner is None:
             return
-        for found in update.items:
-            owner.items.resume_item(update.job, found)
+        for progress in update.items:
+            owner.items.resume_item(update.job, progress)
 
 
-def groups(
+def split_items(
     items: list[itemwork.Progress],
 ) -> list[tuple[itemwork.Progress, ...]]:
-    """Return items in groups that fit into one message each."""
-    found: list[list[itemwork.Progress]] = [[]]
+    """Return items in groups, each of which fits into one message."""
+    groups: list[list[itemwork.Progress]] = [[]]
     size = 0
     for item in items:
         item_size = sum(len(text) + 8 for text in item.text)
-        if found[-1] and size + item_size > MESSAGE_BYTES:
-            found.append([])
+        if groups[-1] and size + item_size > MAX_MESSAGE_BYTES:
+            groups.append([])
             size = 0
-        found[-1].append(item)
+        groups[-1].append(item)
         size += item_size
-    return [tuple(group) for group in found]
+    return [tuple(group) for group in groups]
 
 
-def count(updates: list[jobmessages.ProgressUpdate]) -> int:
-    """Return the number of items in some messages."""
+def count_items(updates: list[jobmessages.ProgressUpdate]) -> int:
+    """Return the total number of items in messages."""
     return sum(len(update.items) for update in updates)
