--- a/camphortray/job_router.py
+++ b/camphortray/job_router.py
@@ -250,7 +250,7 @@
                 "owner": claim.name if claim else "",
                 "epoch": claim.epoch if claim else 0,
                 "word_age_s": book.age_s(part, self.clock.monotonic()),
-                "dealt_to": book.dealt.get(part, ""),
+                "dealt_to": book.assigned.get(part, ""),
                 "generation": self.owners.generation,
             },
         )
--- a/camphortray/owner_cache.py
+++ b/camphortray/owner_cache.py
@@ -1,4 +1,4 @@
-"""Who owns each partition of jobs, as one host has learned."""
+"""Caches the owner of each partition of jobs, as far as a host knows it."""
 
 __all__ = ["Miss", "NoOwner", "OwnerCache", "OwnerClaim"]
 
@@ -7,7 +7,7 @@
 
 
 class Miss(enum.Enum):
-    """Why a call finds no owner that could be asked."""
+    """Why a call finds no owner that can be asked."""
 
     UNHEARD = "unheard"
     GIVEN_UP = "given up"
@@ -17,7 +17,7 @@
     OUT_OF_TOUCH = "out of touch"
 
 
-# What a caller gets to read, by why there is no owner.
+# Explanations that are sent to callers.
 EXPLAINED = {
     Miss.UNHEARD: "no owner has been heard of",
     Miss.GIVEN_UP: "given up here, and the next owner not heard of",
@@ -29,10 +29,10 @@
 
 
 class NoOwner(Exception):
-    """No owner of a partition could be asked.
+    """No owner of a partition can be asked.
 
     Attributes:
-      miss: Why.
+      miss: The reason.
     """
 
     def __init__(self, part: int, miss: Miss) -> None:
@@ -41,12 +41,12 @@
 
 
 class OwnerClaim(NamedTuple):
-    """What an owner says of itself.
+    """A published claim to own a partition.
 
     Attributes:
-      epoch: In which it owns the partition.
-      name: Its member.
-      observed_at: When this host heard of it, monotonic.
+      epoch: Epoch in which the claimant owns the partition.
+      name: Member name of the claimant.
+      observed_at: Monotonic time at which this host received the claim.
     """
 
     epoch: int
@@ -55,49 +55,50 @@
 
 
 class OwnerCache:
-    """Owners of partitions as one host knows them.
+    """Owners of partitions as far as one host knows them.
 
-    Owners publish once that they own a partition, and that may be late. A host
-    whose claim is stale, as the owner has refused a call, can ask
-    the store, which deals the partitions. What the store says goes before
-    the claim of an owner until a newer owner is heard of; it says who is to
-    own a partition, not who has read it, which that host itself must say.
+    An owner publishes its claim once, and the claim may arrive late. If a
+    claim turns out to be stale, as the owner refuses a call, the host can
+    query the store, which assigns the partitions. The assignment takes
+    precedence over a claim until a newer claim arrives. It names the host that
+    is to own a partition; only that host knows whether it has read it yet.
 
     Attributes:
-      own_name: Member of this host.
-      known: Newest claim of an owner, by partition.
-      dealt: Member that the store deals a partition to, by partition.
+      own_name: Member name of this host.
+      known: Latest claim of an owner, by partition.
+      assigned: Member to which the store assigned a partition, by partition,
+        where it is not the latest claimant.
     """
 
     def __init__(self, own_name: str) -> None:
         self.own_name = own_name
         self.known: dict[int, OwnerClaim] = {}
-        self.dealt: dict[int, str] = {}
+        self.assigned: dict[int, str] = {}
 
     def on_claim(self, part: int, claim: OwnerClaim) -> bool:
-        """Take an owner's claim; return whether it is the newest."""
-        held = self.known.get(part)
-        if held is None or claim[:2] > held[:2]:
+        """Record a claim; return whether it is the latest."""
+        latest = self.known.get(part)
+        if latest is None or claim[:2] > latest[:2]:
             self.known[part] = claim
-            self.dealt.pop(part, None)
+            self.assigned.pop(part, None)
         return self.known[part][:2] == claim[:2]
 
-    def on_assignment(self, dealt: dict[int, str]) -> None:
-        """Take what the store says of all partitions."""
-        self.dealt = {
+    def on_assignment(self, assigned: dict[int, str]) -> None:
+        """Record the assignment of all partitions by the store."""
+        self.assigned = {
             part: name
-            for part, name in dealt.items()
+            for part, name in assigned.items()
             if part not in self.known or self.known[part].name != name
         }
 
     def name(self, part: int) -> str:
-        """Return the member to ask, another one than this host.
+        """Return the member to ask, which is never this host.
 
         Raises:
-          NoOwner: there is none.
+          NoOwner: No other owner is known.
         """
         claim = self.known.get(part)
-        name = self.dealt.get(part) or (claim.name if claim else "")
+        name = self.assigned.get(part) or (claim.name if claim else "")
         if not name:
             raise NoOwner(part, Miss.UNHEARD)
         if name == self.own_name:
@@ -105,6 +106,6 @@
         return name
 
     def age_s(self, part: int, now: float) -> float | None:
-        """Return the age of what is known of an owner, None if nothing."""
+        """Return the age of the latest claim, or None if there is none."""
         claim = self.known.get(part)
         return None if claim is None else now - claim.observed_at
--- a/tests/test_owner_cache.py
+++ b/tests/test_owner_cache.py
@@ -1,10 +1,10 @@
-"""What a host does whose word of a partition's owner is stale.
+"""Tests of a host whose information on the owner of a partition is stale.
 
-What callers saw: 503 to a job's POST, "partition 0 changes hands", while the
+Callers got 503, "partition 0 changes hands", to a job's POST, although the
 store and both hosts were up and the partition had a ready owner. The host that
-was asked still held itself for the owner, which it no longer was, and waited
-for the next owner's word for all the time it had, three seconds; that word was
-on its way for longer, beside 30 busy processes. It could have asked the store.
+received the POST had lost the partition and waited for the next owner's claim
+for its whole limit of three seconds; next to 30 busy processes the claim took
+longer. It could have queried the store.
 """
 
 import asyncio
@@ -20,45 +20,45 @@
 from tests.test_platform_jobs import results_of
 
 OWN, OTHER, LOST = "a/host", "b/host", "c/host"
-WORD = owner_cache.OwnerClaim(3, OWN, 1.0)
+CLAIM = owner_cache.OwnerClaim(3, OWN, 1.0)
 
 
 @pytest.mark.parametrize(
     "word, dealt, expected",
     [
         (None, {}, owner_cache.Miss.UNHEARD),
-        (WORD, {}, owner_cache.Miss.GIVEN_UP),
-        (WORD, {0: OTHER}, OTHER),
+        (CLAIM, {}, owner_cache.Miss.GIVEN_UP),
+        (CLAIM, {0: OTHER}, OTHER),
         (None, {0: OTHER}, OTHER),
-        (WORD._replace(name=OTHER), {}, OTHER),
-        (WORD._replace(name=OTHER), {0: LOST}, LOST),
-        (WORD._replace(name=OTHER), {0: OWN}, owner_cache.Miss.GIVEN_UP),
-        (WORD._replace(name=OTHER), {1: LOST}, OTHER),
+        (CLAIM._replace(name=OTHER), {}, OTHER),
+        (CLAIM._replace(name=OTHER), {0: LOST}, LOST),
+        (CLAIM._replace(name=OTHER), {0: OWN}, owner_cache.Miss.GIVEN_UP),
+        (CLAIM._replace(name=OTHER), {1: LOST}, OTHER),
     ],
 )
 def test_whom_to_ask(word, dealt, expected):
-    book = owner_cache.OwnerCache(OWN)
+    cache = owner_cache.OwnerCache(OWN)
     if word is not None:
-        assert book.on_claim(0, word)
-    book.on_assignment(dealt)
+        assert cache.on_claim(0, word)
+    cache.on_assignment(dealt)
     if isinstance(expected, str):
-        assert book.name(0) == expected
+        assert cache.name(0) == expected
     else:
         with pytest.raises(owner_cache.NoOwner) as raised:
-            book.name(0)
+            cache.name(0)
         assert raised.value.miss is expected
 
 
-def test_a_newer_owner_goes_before_what_the_store_said():
-    book = owner_cache.OwnerCache(OWN)
-    book.on_claim(0, WORD)
-    book.on_assignment({0: OTHER})
-    assert not book.on_claim(0, WORD._replace(epoch=2, name=LOST))
-    assert book.name(0) == OTHER
-    assert book.on_claim(0, WORD._replace(epoch=4, name=LOST))
-    assert book.name(0) == LOST
-    assert book.age_s(0, 3.0) == 2.0
-    assert book.age_s(1, 3.0) is None
+def test_a_newer_claim_takes_precedence_over_the_assignment():
+    cache = owner_cache.OwnerCache(OWN)
+    cache.on_claim(0, CLAIM)
+    cache.on_assignment({0: OTHER})
+    assert not cache.on_claim(0, CLAIM._replace(epoch=2, name=LOST))
+    assert cache.name(0) == OTHER
+    assert cache.on_claim(0, CLAIM._replace(epoch=4, name=LOST))
+    assert cache.name(0) == LOST
+    assert cache.age_s(0, 3.0) == 2.0
+    assert cache.age_s(1, 3.0) is None
 
 
 STALE = {
@@ -72,7 +72,7 @@
 
 
 def make_stale(platform, asked, owner, part, case):
-    """Let a host know of no owner, or of one that is none any more."""
+    """Make a host know no owner, or a host that is not the owner."""
     book = asked.part(job_router.JobRouter).owners.book
     stale = STALE[case](platform, owner)
     if stale is None:
@@ -84,10 +84,10 @@
 
 
 @pytest.mark.parametrize("case", list(STALE))
-async def test_a_job_finds_its_owner_though_its_word_was_lost(case):
-    # The owner's word has not reached the host that a caller sends a job
-    # to; what that host knows is none or old. The store and all hosts are
-    # up, and nothing tells the owner again.
+async def test_a_job_finds_its_owner_although_the_claim_was_lost(case):
+    # The owner's claim did not reach the host to which a caller submits a
+    # job, so that this host knows no owner or a stale one. The store and all
+    # hosts are up, and the claim is not published again.
     async with platformkit.Platform(hosts=3, parts=3) as platform:
         asked = platform.hosts[0]
         owner = platform.hosts[1]
@@ -105,13 +105,13 @@
         )
         assert status == 202
         assert len(await results_of(asked, job, 1)) == 1
-        # What the store said holds for the calls after it.
+        # Later calls use the answer of the store as well.
         assert platform.store.calls["/log-owners"] == before + 1
 
 
-async def test_many_calls_without_an_owner_ask_the_store_now_and_then():
-    # Nobody owns the partition: its host is lost and still a member for
-    # the store. All calls of this host share its questions.
+async def test_many_calls_without_an_owner_share_queries_to_the_store():
+    # The partition has no owner: its host has failed, but the store still
+    # takes it for a member. All calls at a host share its queries.
     async with platformkit.Platform(hosts=2) as platform:
         asked, lost = platform.hosts
         router = asked.part(job_router.JobRouter)
@@ -144,7 +144,7 @@
         )
 
 
-async def test_a_call_that_finds_no_owner_tells_why():
+async def test_a_call_that_finds_no_owner_gets_the_reason():
     async with platformkit.Platform() as platform:
         (host,) = platform.hosts
         router = host.part(job_router.JobRouter)
