--- a/camphortray/owner_candidates.py
+++ b/camphortray/owner_candidates.py
@@ -1,4 +1,4 @@
-"""Decides whether a host offers itself as an owner of partitions."""
+"""Decides whether a host is a candidate for owning partitions."""
 
 __all__ = ["OwnerCandidates"]
 
@@ -6,25 +6,27 @@
 
 from camphortray import shards
 
-# Candidates for each partition, and the fewest of all. Each change of the
-# group of owners may move partitions, so that hosts which would own nothing
-# must not come and go in it.
+# Candidates for each partition, and the minimum in total. Each change of the
+# group of owners may move partitions, so hosts that would own none should not
+# join and leave it.
 CANDIDATES_PER_PARTITION = 2
 MIN_CANDIDATES = 16
-# A candidate stays one until this many times as many hosts go before it.
+# A member of the group remains a candidate up to this multiple of the number
+# of candidates, so that small changes of rank do not change the group.
 STAY_FACTOR = 1.5
-# Time for which a host that found partitions without an owner offers itself
-# whatever its rank, in seconds.
+# Time for which a host that has found partitions without an owner is a
+# candidate regardless of its rank.
 UNOWNED_S = 10.0
 
 
 class OwnerCandidates:
-    """Ranks hosts by rendezvous hash; the first ones offer themselves.
+    """Ranks hosts by rendezvous hash; those ranked first are candidates.
 
     Attributes:
-      own_name: Name of this host's member.
+      own_name: Member name of this host.
       count: Number of candidates.
-      unowned_at: When partitions were last found without an owner.
+      unowned_at: Monotonic time at which partitions were last found without
+        an owner.
     """
 
     def __init__(self, own_name: str, partitions: int, now: float) -> None:
@@ -33,7 +35,7 @@
         self.unowned_at = now - UNOWNED_S
 
     def note_unowned(self, now: float) -> None:
-        """Take note that partitions have no owner."""
+        """Record that partitions were found without an owner."""
         self.unowned_at = now
 
     def offers(
@@ -42,16 +44,18 @@
         """Return whether this host is to be a member of the group.
 
         Args:
-          names: Members of all hosts that may be candidates.
-          known: Whether these are known yet.
-          member: Whether it is one now.
-          now: Seconds of the monotonic clock.
+          names: Member names of all hosts that may be candidates.
+          known: Whether the list of these hosts is known yet.
+          member: Whether this host is a member of the group now.
+          now: Monotonic time.
         """
         if now - self.unowned_at < UNOWNED_S:
             return True
         if not known:
             return False
-        most = self.count * STAY_FACTOR if member else self.count
-        own = shards.score("job-owner", self.own_name)
-        before = sum(shards.score("job-owner", name) > own for name in names)
-        return before < most
+        limit = self.count * STAY_FACTOR if member else self.count
+        own_score = shards.score("job-owner", self.own_name)
+        rank = sum(
+            shards.score("job-owner", name) > own_score for name in names
+        )
+        return rank < limit
--- a/tests/test_owner_candidates.py
+++ b/tests/test_owner_candidates.py
@@ -1,4 +1,4 @@
-"""Which hosts offer to own partitions of jobs."""
+"""Tests of which hosts are candidates for owning partitions of jobs."""
 
 import asyncio
 
@@ -13,14 +13,14 @@
 LATER = 100.0
 
 
-def offering(names, partitions, member=(), known=True, now=LATER):
-    """Return the hosts that offer themselves."""
-    found = set()
+def candidates_of(names, partitions, member=(), known=True, now=LATER):
+    """Return the names of the hosts that are candidates."""
+    candidates = set()
     for name in names:
-        held = owner_candidates.OwnerCandidates(name, partitions, 0.0)
-        if held.offers(names, known, name in member, now):
-            found.add(name)
-    return found
+        own = owner_candidates.OwnerCandidates(name, partitions, 0.0)
+        if own.offers(names, known, name in member, now):
+            candidates.add(name)
+    return candidates
 
 
 @pytest.mark.parametrize(
@@ -39,18 +39,18 @@
     hosts, partitions, count
 ):
     names = {f"h{n}/host" for n in range(hosts)}
-    assert len(offering(names, partitions)) == count
+    assert len(candidates_of(names, partitions)) == count
 
 
 @pytest.mark.parametrize("hosts", [195, 390])
 def test_hosts_that_come_and_go_change_few_candidates(hosts):
-    """Each member that comes or goes may move all partitions."""
+    """Each host that joins or leaves the group may move all partitions."""
     names = {f"h{n}/host" for n in range(hosts)}
-    before = offering(names, 8)
+    before = candidates_of(names, 8)
     more = names | {f"new{n}/host" for n in range(hosts // 5)}
-    assert offering(more, 8, member=before) >= before
+    assert candidates_of(more, 8, member=before) >= before
     fewer = names - set(sorted(names)[: hosts // 5])
-    after = offering(fewer, 8, member=before)
+    after = candidates_of(fewer, 8, member=before)
     assert after >= before & fewer
     assert len(after) >= 16
 
@@ -58,8 +58,8 @@
 @pytest.mark.parametrize("hosts", [195, 390])
 def test_when_all_candidates_are_lost_others_take_their_place(hosts):
     names = {f"h{n}/host" for n in range(hosts)}
-    left = names - offering(names, 8)
-    assert len(offering(left, 8)) == 16
+    left = names - candidates_of(names, 8)
+    assert len(candidates_of(left, 8)) == 16
 
 
 @pytest.mark.parametrize(
@@ -67,27 +67,27 @@
     [(False, 0.5, False), (True, 0.5, True)],
 )
 def test_a_host_first_learns_which_others_there_are(known, now, offers):
-    """All hosts that start at once joined, as each knew only itself."""
-    assert bool(offering({"a/host"}, 8, known=known, now=now)) is offers
+    """Hosts that started together all joined, as each knew only itself."""
+    assert bool(candidates_of({"a/host"}, 8, known=known, now=now)) is offers
 
 
-def test_partitions_without_an_owner_call_any_host():
-    """Until the loss of all candidates is noticed, nobody owned anything."""
+def test_partitions_without_an_owner_make_any_host_a_candidate():
+    """Otherwise none has an owner until the loss of candidates is detected."""
     names = {f"h{n}/host" for n in range(195)}
-    last = min(names - offering(names, 8))
-    held = owner_candidates.OwnerCandidates(last, 8, 0.0)
-    assert not held.offers(names, True, False, LATER)
-    held.note_unowned(LATER)
-    assert held.offers(names, True, False, LATER)
+    last = min(names - candidates_of(names, 8))
+    own = owner_candidates.OwnerCandidates(last, 8, 0.0)
+    assert not own.offers(names, True, False, LATER)
+    own.note_unowned(LATER)
+    assert own.offers(names, True, False, LATER)
     until = LATER + owner_candidates.UNOWNED_S
-    assert held.offers(names, True, True, until - 0.1)
-    assert not held.offers(names, True, True, until)
+    assert own.offers(names, True, True, until - 0.1)
+    assert not own.offers(names, True, True, until)
 
 
-async def test_a_host_that_is_no_candidate_leaves_the_store_alone(
+async def test_a_host_that_is_no_candidate_does_not_call_the_store(
     monkeypatch,
 ):
-    """Each of hundreds of hosts called the store three times a second."""
+    """Otherwise hundreds of hosts each call the store three times a second."""
     monkeypatch.setattr(owner_candidates, "MIN_CANDIDATES", 1)
     monkeypatch.setattr(owner_candidates, "CANDIDATES_PER_PARTITION", 0.5)
     async with platformkit.Platform(hosts=0, parts=2) as platform:
@@ -99,7 +99,8 @@
         )
         (owner,) = (router for router in routers if router.owners.joined)
         await platform.until(lambda: len(owner.owners.held) == 2)
-        # It ends without a word; the others find out by their callers.
+        # The owner stops without leaving the group; the other hosts notice
+        # it by calls that find no owner.
         rest = [router for router in routers if router is not owner]
         owner.owners.stop()
         owner.owners.held.clear()
@@ -109,8 +110,8 @@
                     await router.owners.wait_for_owner(0.05)
 
 
-async def test_hosts_of_the_list_count_until_they_are_known():
-    """A host that leaves was taken for one that may still coordinate."""
+async def test_listed_hosts_are_possible_members_until_they_leave():
+    """A host that had left still counted as a possible coordinator."""
     async with platformkit.Platform(hosts=2) as platform:
         first, second = platform.hosts
         part = first.part(membership.Membership)
