--- a/tests/test_itemrig.py
+++ b/tests/test_itemrig.py
@@ -1,4 +1,4 @@
-"""Each step of an item breaks in each manner: it is listed all the same."""
+"""Tests that each item gets a result whichever step of running it fails."""
 
 import asyncio
 import functools
@@ -22,11 +22,11 @@
 
 @pytest.fixture(scope="module", autouse=True)
 def no_collection():
-    """Collect nothing on the way.
+    """Disable garbage collection during the tests of this module.
 
-    Owners that a cell has broken leave coroutines behind. Collected while
-    pytest parses the source of a failure, they make Python 3.11 end the
-    whole run with "AST constructor recursion depth mismatch".
+    Owners in which a step failed leave coroutines behind. If these are
+    collected while pytest parses the source of a failure, Python 3.11 aborts
+    the whole run with "AST constructor recursion depth mismatch".
     """
     gc.disable()
     yield
@@ -35,12 +35,12 @@
 
 
 def upstream_error(kind, **more):
-    """Return a maker of an error of an engine."""
+    """Return a factory of an error of an engine."""
     return functools.partial(kind, "broken", step="rig", peer="e", **more)
 
 
 def log_error(kind):
-    """Return a maker of an error of the store."""
+    """Return a factory of an error of the store."""
     return functools.partial(kind, "broken", step="rig", peer="store")
 
 
@@ -109,7 +109,8 @@
         progress=3,
     ),
 ]
-# Steps that are plain calls can't hang, nor fail as an engine or a store.
+# Steps that are plain function calls can't hang or raise errors of an engine
+# or the store.
 PLAIN = [*UNEXPECTED, *REVOKED[:2], *PROGRESS[:2]]
 IN_A_RUN = [*UNEXPECTED, *REVOKED, *PROGRESS, HANG]
 WRITE = [*UNEXPECTED, *STORE, *PROGRESS[:2], HANG]
@@ -131,14 +132,14 @@
     "apply r": [*UNEXPECTED, RECORD],
     "on_change": UNEXPECTED,
 }
-# Broken after two jobs have been accepted, as a third one is sent.
+# Steps that fail while a third job is submitted, after two were accepted.
 LATER_STEPS = {
     "append j": WRITE,
     "append j answer": WRITE,
     "apply j": [*UNEXPECTED, RECORD],
     "on_change": UNEXPECTED,
 }
-# Broken as the next owner takes the partition over.
+# Steps that fail while the next owner takes over the partition.
 TAKEOVER_STEPS = {
     "set_epoch": [*UNEXPECTED, *STORE, HANG],
     "set_epoch answer": [*UNEXPECTED, *STORE, HANG],
@@ -147,13 +148,13 @@
     "apply j": [*UNEXPECTED, RECORD],
     "on_change": UNEXPECTED,
 }
-# Refusals of 12 appends outlast the time that the end of a job has.
+# 12 refused appends outlast the time limit of a call to end a job.
 END_TIMES = (1, 3, 12)
 TABLE = "step", "manner", "times"
 
 
 def cells(steps, counts=(1, 3)):
-    """Return all cells of some steps, once and several times in a row."""
+    """Return test parameters for steps that fail once or several times."""
     return [
         pytest.param(step, manner, times, id=f"{step}/{manner.name}/{times}")
         for step, manners in steps.items()
@@ -163,7 +164,7 @@
 
 
 async def house_of(monkeypatch, step, manner, times, armed=True):
-    """Return a house with a break, and two accepted jobs."""
+    """Return a house with an injected failure, and two accepted jobs."""
     broken = breakrig.Break(step, manner, times)
     broken.armed = armed
     apply = partition_state.PartitionState.apply
@@ -181,24 +182,21 @@
 
 
 @pytest.mark.parametrize(TABLE, cells(STEPS))
-async def test_a_step_that_breaks_leaves_no_item(
-    monkeypatch, step, manner, times
-):
-    # A caller has two jobs accepted and reads them until they are whole.
-    # One step of the first item breaks, once or three times, and is sound
-    # afterwards. Nobody is left who would run an item that its owner has
-    # let go of: it lies until the partition changes hands.
+async def test_a_failing_step_loses_no_item(monkeypatch, step, manner, times):
+    # Two jobs are accepted and read until they are complete. One step of the
+    # first item fails, once or three times, and succeeds afterwards. An item
+    # that its owner drops is run by nobody until ownership changes.
     house, counts = await house_of(monkeypatch, step, manner, times)
     await itemrig.check(house, counts)
     assert house.broken.met
 
 
 @pytest.mark.parametrize(TABLE, cells(LATER_STEPS))
-async def test_an_accept_that_breaks_leaves_no_item(
+async def test_a_failing_accept_loses_no_item(
     monkeypatch, step, manner, times
 ):
-    # Two jobs are accepted and run. The accept of a third one breaks; its
-    # caller comes again. The first two share the writer with it.
+    # Two jobs are accepted and run. Accepting a third one fails, and its
+    # caller retries. All three jobs share one writer.
     house, counts = await house_of(monkeypatch, step, manner, times, False)
     house.broken.armed = True
     taken = await house.submit(itemrig.part_of("j3", 1))
@@ -208,11 +206,12 @@
 
 
 @pytest.mark.parametrize(TABLE, cells(TAKEOVER_STEPS))
-async def test_a_takeover_that_breaks_leaves_no_item(
+async def test_a_failing_takeover_loses_no_item(
     monkeypatch, step, manner, times
 ):
-    # Two jobs are accepted, one item is under way, the partition changes
-    # hands. The takeover breaks in one step and is sound if tried again.
+    # Two jobs are accepted, and an item is running when the ownership of the
+    # partition changes. One step of the takeover fails, once or three times,
+    # and succeeds afterwards.
     house, counts = await house_of(monkeypatch, step, manner, times, False)
     await asyncio.sleep(0.12)
     house.broken.armed = True
@@ -226,20 +225,20 @@
     TABLE,
     [
         *cells({"append e": [*UNEXPECTED, *STORE, HANG]}, END_TIMES),
-        # Not refused: a store that has kept an end and says twelve times
-        # that it did nothing breaks its promise, and the answer to the end
-        # with it. The store's refusal means that nothing was done.
+        # Without "refused": the store's refusal guarantees that nothing was
+        # stored. A store that stores an end and then refuses it breaks that
+        # guarantee, and the answer to the caller would be wrong.
         *cells(
             {"append e answer": [*UNEXPECTED, *STORE[1:], HANG]}, END_TIMES
         ),
     ],
 )
-async def test_an_end_that_is_not_kept_leaves_no_item(
+async def test_an_end_that_is_not_stored_loses_no_item(
     monkeypatch, step, manner, times, gone_s
 ):
-    # A caller ends its job, and waits for the answer or goes before it.
-    # The store refuses the end, loses it or breaks. If the end is not kept
-    # the job goes on, and each of its items is owed.
+    # A caller ends its job and waits for the answer or disconnects before it.
+    # The store refuses the end, loses it or fails. If the end is not stored,
+    # the job goes on, and each of its items must get a result.
     house, counts = await house_of(monkeypatch, step, manner, times)
     await asyncio.sleep(0.12)
     ending = asyncio.ensure_future(house.owner.end("j1"))
@@ -252,12 +251,13 @@
 @pytest.mark.parametrize("end_s", [0.12, 0.42, 0.5, 0.7])
 @pytest.mark.parametrize("times", [3, 12])
 @pytest.mark.parametrize("gone_s", [None, 0.02])
-async def test_an_end_behind_results_that_wait_leaves_no_item(
+async def test_an_end_behind_queued_results_loses_no_item(
     monkeypatch, end_s, times, gone_s
 ):
-    # The store refuses for a while; results wait to be written. The caller
-    # ends its job, which stops the items but not what waits of them. The
-    # end is refused, the items begin anew, and stand twice in the store.
+    # The store refuses appends for a while, and results are queued. The
+    # caller ends its job, which stops the items but not their queued results.
+    # The end is refused, the items run again, and an item could get two
+    # results in the store.
     house, counts = await house_of(monkeypatch, "append r", STORE[0], times)
     await asyncio.sleep(end_s)
     ending = asyncio.ensure_future(house.owner.end("j1"))
@@ -269,13 +269,15 @@
 
 @pytest.mark.parametrize("hole", range(6))
 @pytest.mark.parametrize("twice", [False, True])
-async def test_an_owner_after_a_gap_in_the_store_lists_all(hole, twice):
-    # Results of one job stand in the store but for one, or one item stands
-    # there twice, as a partition leaves it that was taken again in the
-    # same epoch. The next owner runs what is missing. It counts positions
-    # from the gap; what stood behind it comes to stand again meanwhile.
+async def test_an_owner_after_a_gap_in_the_store_stores_all_results(
+    hole, twice
+):
+    # The stored results of a job lack one position, or hold one item twice,
+    # as if a partition had been owned again in the same epoch. The next owner
+    # runs the missing items and assigns positions from the gap on. Old results
+    # after the gap must not be applied once it is filled.
     broken = breakrig.Break("", HANG)
-    held = breakrig.RigLedger(broken)
+    store = breakrig.RigLedger(broken)
     part = itemrig.part_of("j1", 9)
     records = partition_records.accept_records(part, 262_144)
     for number in range(6):
@@ -287,7 +289,7 @@
             records.append(
                 partition_records.result_record("j1", number, (result,))
             )
-    await held.append(itemrig.JOBS, 0, records, ledger.Fence(0, 0))
-    house = itemrig.House(broken, held)
+    await store.append(itemrig.JOBS, 0, records, ledger.Fence(0, 0))
+    house = itemrig.House(broken, store)
     await house.owner.ready.wait()
     await itemrig.check(house, {"j1": 9})
