--- a/camphortray/job_router.py
+++ b/camphortray/job_router.py
@@ -203,7 +203,7 @@
         """
         if part in self.owners.held:
             return await self.handle(self.owners.held[part], ask)
-        member = self.members.member(self.owners.book.name(part))
+        member = self.members.member(self.owners.owner_cache.name(part))
         if member is None or member.dead:
             raise owner_cache.NoOwner(part, owner_cache.Miss.GONE)
         address = configs.Address.from_text(member.peer_address)
@@ -237,8 +237,8 @@
         self, job: str, part: int, refusal: errors.Refused
     ) -> None:
         """Log what this host knew when a call found no owner in time."""
-        book = self.owners.book
-        claim = book.known.get(part)
+        cache = self.owners.owner_cache
+        claim = cache.known.get(part)
         LOG.notice(
             "Call on job {} found no owner of partition {}: {}",
             job,
@@ -249,8 +249,8 @@
                 "part": part,
                 "owner": claim.name if claim else "",
                 "epoch": claim.epoch if claim else 0,
-                "word_age_s": book.age_s(part, self.clock.monotonic()),
-                "dealt_to": book.assigned.get(part, ""),
+                "word_age_s": cache.age_s(part, self.clock.monotonic()),
+                "dealt_to": cache.assigned.get(part, ""),
                 "generation": self.owners.generation,
             },
         )
--- a/camphortray/partition_manager.py
+++ b/camphortray/partition_manager.py
@@ -50,7 +50,7 @@
 
     Attributes:
       held: Owners of the partitions that this host owns, by partition.
-      book: Owners of all partitions, as far as this host knows.
+      owner_cache: Owners of all partitions, as far as this host knows.
       backlog: Tokens of open items of all hosts.
       handover: Hands partial output to the next owners of partitions.
       candidates: Decides whether this host is to join the group.
@@ -83,7 +83,7 @@
         self.member = f"{context.config.host.name}.{context.incarnation}"
         self.generation = self.applied_generation = 0
         self.held: dict[int, partition_owner.PartitionOwner] = {}
-        self.book = owner_cache.OwnerCache(self.members.own_name)
+        self.owner_cache = owner_cache.OwnerCache(self.members.own_name)
         self.next_query_at = 0.0
         self.owner_query: asyncio.Task[None] | None = None
         self.backlog = backlog_gossip.BacklogGossip(context, self.held)
@@ -105,7 +105,7 @@
     @property
     def known(self) -> dict[int, owner_cache.OwnerClaim]:
         """Latest claim of an owner, by partition."""
-        return self.book.known
+        return self.owner_cache.known
 
     def start(self) -> None:
         """Start to join the group and to own assigned partitions."""
@@ -349,7 +349,7 @@
         number, _, name = fact.key.partition("/")
         part, epoch = int(number), int(fact.value)
         claim = owner_cache.OwnerClaim(epoch, name, self.clock.monotonic())
-        newest = self.book.on_claim(part, claim)
+        newest = self.owner_cache.on_claim(part, claim)
         owner = self.held.get(part)
         if owner is not None and epoch > owner.epoch:
             # This host has not heard of it from the store, which may be
@@ -393,7 +393,7 @@
             LOG.info("Could not query the owners of partitions: {}", error)
         else:
             program = self.context.program
-            self.book.on_assignment(
+            self.owner_cache.on_assignment(
                 {
                     part: f"{member.rpartition('.')[0]}/{program}"
                     for part, member in found.items()
--- a/tests/test_owner_cache.py
+++ b/tests/test_owner_cache.py
@@ -73,14 +73,14 @@
 
 def make_stale(platform, asked, owner, part, case):
     """Make a host know no owner, or a host that is not the owner."""
-    book = asked.part(job_router.JobRouter).owners.book
+    cache = asked.part(job_router.JobRouter).owners.owner_cache
     stale = STALE[case](platform, owner)
     if stale is None:
-        del book.known[part]
+        del cache.known[part]
         return
     if not isinstance(stale, str):
         stale = stale.part(job_router.JobRouter).members.own_name
-    book.known[part] = book.known[part]._replace(epoch=1, name=stale)
+    cache.known[part] = cache.known[part]._replace(epoch=1, name=stale)
 
 
 @pytest.mark.parametrize("case", list(STALE))
@@ -120,9 +120,9 @@
         job = next(name for name in names if router.part_of(name) == part)
         await lost.kernel.stop()
         platform.hosts.remove(lost)
-        router.owners.book.known[part] = router.owners.book.known[
-            part
-        ]._replace(name="gone/host")
+        router.owners.owner_cache.known[part] = (
+            router.owners.owner_cache.known[part]._replace(name="gone/host")
+        )
         asks = []
         owners = router.ledger.owners
 
