--- a/camphortray/backlog_gossip.py
+++ b/camphortray/backlog_gossip.py
@@ -89,7 +89,7 @@
     def count(self, owner: partition_owner.PartitionOwner) -> dict[str, int]:
         """Return the waiting tokens of a partition, by route."""
         counts: dict[str, int] = {}
-        for job in owner.book.jobs.values():
+        for job in owner.state.jobs.values():
             route = self.active_config.routes.find(job.host_name, job.target)
             tokens = job.waiting_tokens
             if route is not None and tokens:
--- a/camphortray/job_router.py
+++ b/camphortray/job_router.py
@@ -280,7 +280,7 @@
         self, owner: partition_owner.PartitionOwner, ask: jobmessages.SubmitAsk
     ) -> jobmessages.Taken:
         """Accept a job."""
-        known = ask.job.job in owner.book.jobs
+        known = ask.job.job in owner.state.jobs
         if not known and not await self.owners.backlog.has_room(ask.job):
             LOG.info(
                 "Job {} refused: quota of its route exceeded, {} items.",
@@ -301,7 +301,7 @@
             raise store_unavailable(error) from error
         except errors.LogError as error:
             raise outcome_unknown(error) from error
-        job = owner.book.jobs.get(ask.job.job)
+        job = owner.state.jobs.get(ask.job.job)
         if job is not None:
             check_workspace(job, ask.job.workspace)
         LOG.info(
@@ -340,7 +340,7 @@
         self, owner: partition_owner.PartitionOwner, ask: jobmessages.BodyAsk
     ) -> jobmessages.BodyReply:
         """Return the body of an item that has no result yet."""
-        job = owner.book.jobs.get(ask.job)
+        job = owner.state.jobs.get(ask.job)
         if job is None:
             await self.check_ownership(owner)
             raise unknown_job(ask.job)
@@ -355,7 +355,7 @@
         self, owner: partition_owner.PartitionOwner, ask: jobmessages.EndAsk
     ) -> jobmessages.Taken:
         """End a job."""
-        job = owner.book.jobs.get(ask.job)
+        job = owner.state.jobs.get(ask.job)
         if job is None:
             await self.check_ownership(owner)
             raise unknown_job(ask.job)
--- a/camphortray/partition_owner.py
+++ b/camphortray/partition_owner.py
@@ -48,7 +48,7 @@
     Attributes:
       part: Number of the partition.
       epoch: Epoch in which this host owns the partition.
-      book: All jobs of the partition.
+      state: All jobs of the partition.
       ready: Set once all records have been read.
       begun_at: Monotonic time at which the takeover began.
       lost: Whether ownership has ended: another host has taken over, or
@@ -74,7 +74,7 @@
         self.keep_s = keep_s
         self.on_change = on_change
         self.on_lost = on_lost
-        self.book = partition_state.PartitionState()
+        self.state = partition_state.PartitionState()
         self.writer = partwriter.PartWriter(
             ledger,
             TOPIC,
@@ -133,7 +133,7 @@
                         loop.time() + STORE_CALL_TIMEOUT_S
                     ),
                 )
-            self.book = partition_state.PartitionState()
+            self.state = partition_state.PartitionState()
             unreadable = self.load(page.records)
             # No other host can have appended anything since the epoch was
             # set, but a paged listing is not a consistent snapshot.
@@ -168,7 +168,7 @@
         unreadable = 0
         for record in records:
             try:
-                self.book.apply(record)
+                self.state.apply(record)
             except errors.RecordError as error:
                 unreadable += 1
                 LOG.error(
@@ -180,15 +180,15 @@
 
     def begin(self) -> None:
         """Start to serve calls and run open items."""
-        jobs = self.book.jobs.values()
+        jobs = self.state.jobs.values()
         LOG.notice(
             "Owns partition {} in epoch {}, {} jobs, {} items open.",
             self.part,
             self.epoch,
-            len(self.book.jobs),
+            len(self.state.jobs),
             sum(len(job.open_items) for job in jobs),
         )
-        for name in self.book.drop_gaps():
+        for name in self.state.drop_gaps():
             LOG.warning(
                 "Results of job {} have a gap; items without a usable result"
                 " are run again.",
@@ -196,7 +196,7 @@
             )
         self.writer.start()
         self.ready.set()
-        self.items.begin(self.book.jobs)
+        self.items.begin(self.state.jobs)
         self.notify_change()
 
     def on_fenced(self) -> None:
@@ -281,11 +281,11 @@
     def on_written(self, records: partwriter.Records) -> None:
         """Apply records that have been stored."""
         for record in records:
-            self.book.apply(record)
+            self.state.apply(record)
         for name in {
             partition_records.split_key(record.key)[1] for record in records
         }:
-            job = self.book.jobs.get(name)
+            job = self.state.jobs.get(name)
             if job is not None and job.ended:
                 # Items may have been restarted because the store refused an
                 # earlier call to end the job while this one was pending.
@@ -317,8 +317,8 @@
     async def delete_expired_jobs(self) -> None:
         """Delete the keys of jobs whose retention has expired."""
         now = self.parts.clock.wall()
-        for name in self.book.expired_jobs(now, self.keep_s):
-            keys = list(self.book.keys.get(name, ()))
+        for name in self.state.expired_jobs(now, self.keep_s):
+            keys = list(self.state.keys.get(name, ()))
             records = [ledgers.LedgerRecord(key, b"") for key in keys]
             if not records:
                 continue
@@ -340,7 +340,7 @@
           LogUnavailable: The job may have been accepted.
           RecordError: An item is too large to be stored.
         """
-        if part.job in self.book.jobs:
+        if part.job in self.state.jobs:
             return
         task = self.submits.get(part.job)
         if task is None:
@@ -387,7 +387,7 @@
           The job and as many results as fit in a page, or None if the job
           is unknown.
         """
-        job = self.book.jobs.get(name)
+        job = self.state.jobs.get(name)
         if job is None:
             return None
         if after >= len(job.results) and wait_s > 0 and job.open_items:
@@ -410,7 +410,7 @@
         Raises:
           LogError: The end was not stored, or it is unknown whether it was.
         """
-        job = self.book.jobs.get(name)
+        job = self.state.jobs.get(name)
         if job is None or job.ended:
             return
         self.ending[name] += 1
@@ -432,7 +432,7 @@
         if self.ending[name]:
             return
         del self.ending[name]
-        job = self.book.jobs.get(name)
+        job = self.state.jobs.get(name)
         if job is not None:
             self.items.queue_open_items(job)
 
--- a/tests/test_item_reconciler.py
+++ b/tests/test_item_reconciler.py
@@ -107,9 +107,9 @@
     await owner.close()
     second = await owner_of(store, epoch=2)
     assert await listed(second, count=2) == found
-    job = second.book.jobs["j1"]
+    job = second.state.jobs["j1"]
     assert not job.open_items
-    dropped = second.book.forget("j1")
+    dropped = second.state.forget("j1")
     assert sum(record.key.startswith("t/") for record in dropped) == 3
     await second.close()
 
--- a/tests/test_partition_owner.py
+++ b/tests/test_partition_owner.py
@@ -212,7 +212,7 @@
     await asyncio.sleep(130.0)
     page = await store.newest(JOBS, 0)
     assert page.records == ()
-    assert not owner.book.jobs
+    assert not owner.state.jobs
     await owner.close()
 
 
--- a/tests/test_ways_out.py
+++ b/tests/test_ways_out.py
@@ -256,7 +256,7 @@
     slots.refusals = 0
     slots.names = names
     owner.parts.backends.party.script.append(test_partition_owner.good())
-    if not owner.book.jobs["j1"].ended:
+    if not owner.state.jobs["j1"].ended:
         await listed(owner, "j1", 1)
     await owner.close()
 
