--- a/camphortray/item_reconciler.py
+++ b/camphortray/item_reconciler.py
@@ -105,14 +105,14 @@
         job = self.jobs.get(job_id)
         if self.closed or job is None or job.ended or job_id in self.ending:
             return False
-        return index not in job.listed and job.items[index] is not None
+        return index not in job.finished and job.items[index] is not None
 
     def queue_open_items(self, job: partition_state.Job) -> None:
         """Queue each open item of a job that is neither queued nor running.
 
         It is idempotent and may be called at any time.
         """
-        if not job.whole:
+        if not job.complete:
             LOG.error(
                 "Job {} is missing items; only those present are run.", job.id
             )
@@ -265,7 +265,7 @@
     def open_items(self) -> Iterator[tuple[partition_state.Job, int]]:
         """Yield each item without a result whose job has not ended."""
         for job in self.jobs.values():
-            if len(job.listed) < len(job.items):
+            if len(job.finished) < len(job.items):
                 for index in job.open_items:
                     yield job, index
 
--- a/camphortray/job_router.py
+++ b/camphortray/job_router.py
@@ -347,7 +347,7 @@
         check_workspace(job, ask.workspace)
         index = job.index_of(ask.item)
         item = job.items[index] if index is not None else None
-        if item is None or job.ended or index in job.listed:
+        if item is None or job.ended or index in job.finished:
             raise errors.Refused(404, "unknown_item", "no such item waits")
         return jobmessages.BodyReply(item.body)
 
--- a/camphortray/partition_state.py
+++ b/camphortray/partition_state.py
@@ -29,7 +29,7 @@
       taken_at: When the job was accepted, in seconds since 1970.
       items: All items by index; None where a part has not been read yet.
       results: Results in the order in which they were stored.
-      listed: Indexes of the items that have a result.
+      finished: Indexes of the items that have a result.
       ended: Whether the caller has ended the job.
       workspace: Workspace that owns the job; empty if it belongs to none.
     """
@@ -42,12 +42,12 @@
     results: list[partition_records.Result] = dataclasses.field(
         default_factory=list
     )
-    listed: set[int] = dataclasses.field(default_factory=set)
+    finished: set[int] = dataclasses.field(default_factory=set)
     ended: bool = False
     workspace: str = ""
 
     @property
-    def whole(self) -> bool:
+    def complete(self) -> bool:
         """Whether all items of the job have been read."""
         return None not in self.items
 
@@ -59,7 +59,7 @@
         return [
             index
             for index in range(len(self.items))
-            if index not in self.listed
+            if index not in self.finished
         ]
 
     @property
@@ -80,10 +80,10 @@
         """
         for result in results:
             if position == len(self.results) and (
-                result.item not in self.listed
+                result.item not in self.finished
             ):
                 self.results.append(result)
-                self.listed.add(result.item)
+                self.finished.add(result.item)
             position += 1
 
     def index_of(self, item_id: str) -> int | None:
@@ -122,7 +122,7 @@
         if record.key.startswith(prefix)
         for earlier in partition_records.RESULTS.decode(record.value)
     ]
-    if result.item in job.listed or result.item in ahead:
+    if result.item in job.finished or result.item in ahead:
         return ()
     position = len(job.results) + len(ahead)
     text_bytes = (
--- a/tests/grouprig.py
+++ b/tests/grouprig.py
@@ -271,5 +271,5 @@
                 self.ledger, itemrig.JOBS, part
             )
             book.load(page.records)
-            kept = book.jobs[job].listed if job in book.jobs else set()
+            kept = book.jobs[job].finished if job in book.jobs else set()
             assert len(kept) == count, f"kept of {job}: {sorted(kept)}"
--- a/tests/test_partition_state.py
+++ b/tests/test_partition_state.py
@@ -56,7 +56,7 @@
         state.load(records)
         job = state.jobs["j1"]
         states.add((tuple(job.results), job.ended, len(job.items)))
-        assert job.whole
+        assert job.complete
     assert len(states) == 1
     ((results, ended, count),) = states
     assert [r.item for r in results] == [2, 0]
@@ -129,7 +129,7 @@
     )
     state = partition_state.PartitionState()
     state.load(records[:1])
-    assert not state.jobs["j1"].whole
+    assert not state.jobs["j1"].complete
 
 
 def test_a_job_whose_keys_are_dropped_is_gone():
