--- a/camphortray/partwriter.py
+++ b/camphortray/partwriter.py
@@ -1,4 +1,4 @@
-"""Appends to one partition in the epoch of its owner, one call at a time."""
+"""Appends records to one partition under its owner's epoch, serially."""
 
 __all__ = ["PartWriter"]
 
@@ -16,65 +16,66 @@
 from camphortray import tasks
 
 LOG = logs.logger("ledger")
-# Pause after an append that the store refused or did not answer, in
-# seconds; doubled up to the second.
-PAUSE_S = 0.05
-MAX_PAUSE_S = 0.5
-# Time for an answer: so many times what answers lately took, within bounds,
-# in seconds, and doubled after each that stays away. The store answers
-# within milliseconds, and 50 times slower when it is slow; a lost answer
-# noticed after a second would cost a job's caller its patience.
-ANSWER_TIMES = 10.0
-LEAST_ANSWER_S = 0.1
-MOST_ANSWER_S = 1.0
-# Time beyond that, in seconds, after which a call is held for unanswered that
-# has not ended itself.
+# Pause after an append that the store refused or did not answer, doubled
+# with each retry from the first value up to the second.
+RETRY_PAUSE_S = 0.05
+MAX_RETRY_PAUSE_S = 0.5
+# The time-out of an append is this multiple of the mean answer time, within
+# the bounds below, and doubles after each missing answer. The store answers
+# within milliseconds and 50 times slower under load; a lost answer detected
+# only after a second would make a job's caller time out.
+ANSWER_TIMEOUT_FACTOR = 10.0
+MIN_ANSWER_TIMEOUT_S = 0.1
+MAX_ANSWER_TIMEOUT_S = 1.0
+# Time beyond that time-out after which a call that has not ended by itself
+# is cancelled and counts as unanswered.
 CALL_SLACK_S = 1.0
-# Errors in a row that no code expects after which a writer ends.
-MOST_ODD = 20
-# Weight of a new measurement in the running mean of answers' times.
-LEARN = 0.3
+# Consecutive errors of an unexpected type after which the writer stops.
+MAX_UNEXPECTED_ERRORS = 20
+# Weight of the latest answer time in the exponential moving average.
+ANSWER_MEAN_WEIGHT = 0.3
 
 Records = Sequence[ledgers.LedgerRecord]
-# Makes the records of a write, given those that stand before them in the
-# same append.
-Maker = Callable[[Records], Records]
+# Returns the records of a write, given those that precede them in the same
+# append.
+RecordFactory = Callable[[Records], Records]
 
 
 @dataclasses.dataclass(eq=False, slots=True)
 class Write:
     """Records that are appended together.
 
-    They are made as late as that, so that a record which tells its place
-    among others tells the place where it will stand: one numbered before a
-    refusal would leave a gap for good.
+    The records are built just before the append, so that a record which
+    holds its position gets the final one: a position assigned before a
+    refusal would leave a permanent gap.
 
     Attributes:
-      make: Makes the records.
-      size: Bytes of the records, about.
-      give_up_at: When its caller waits no longer.
-      done: Set once it is known what became of it, also where its caller
-        has long been told that it is not.
+      make: Returns the records.
+      size: Approximate size of the records in bytes.
+      expires_at: Time on the monotonic clock at which the caller stops
+        waiting.
+      done: Completed with the outcome of the write, even if the caller has
+        already been told that the outcome is unknown.
     """
 
-    make: Maker
+    make: RecordFactory
     size: int
-    give_up_at: float
+    expires_at: float
     done: "asyncio.Future[None]"
 
 
 class PartWriter:
-    """One writer of a partition.
+    """The writer of a partition in one epoch.
 
-    An append whose answer was lost is repeated with its number until the
-    store says what became of it: it may still happen, and whatever came
-    after it under another number would be refused. What waits meanwhile
-    goes into the next append together.
+    An append whose answer was lost is repeated with the same sequence
+    number until the store reports its outcome: it may still take effect,
+    and the store would then refuse a later append that used another number.
+    Writes queued meanwhile are combined into the next append.
 
     Attributes:
-      waiting: Writes that are in no call yet.
-      taken: Writes of the call under way.
-      on_written: Called with records once they are kept.
+      queued: Writes that are not part of an append yet.
+      in_flight: Writes of the append in progress.
+      on_written: Called with records once they are stored.
       on_fenced: Called when another writer has taken over.
     """
 
@@ -96,34 +97,34 @@
         self.on_written = on_written
         self.on_fenced = on_fenced
         self.sequence = 0
-        self.odd = 0
-        self.answer_s = LEAST_ANSWER_S / ANSWER_TIMES
-        self.waiting: list[Write] = []
-        self.taken: list[Write] = []
-        self.work = asyncio.Event()
+        self.unexpected_errors = 0
+        self.mean_answer_s = MIN_ANSWER_TIMEOUT_S / ANSWER_TIMEOUT_FACTOR
+        self.queued: list[Write] = []
+        self.in_flight: list[Write] = []
+        self.has_queued = asyncio.Event()
         self.task: asyncio.Task[None] | None = None
         self.closed = False
 
     def start(self) -> None:
-        """Begin to append."""
+        """Start the task that appends."""
         self.task = asyncio.get_running_loop().create_task(self.run())
 
     def stop(self) -> None:
-        """Append no more; what waits is refused."""
+        """Stop appending and refuse the queued writes."""
         self.closed = True
         if self.task is not None:
             self.task.cancel()
-        for write in self.taken:
+        for write in self.in_flight:
             settle(write, unknown("the partition changes hands"))
-        self.refuse(self.waiting, "the partition has another owner")
+        self.refuse(self.queued, "the partition has another owner")
 
     async def write(self, records: Records, timeout_s: float) -> None:
-        """Append records and return once they are kept.
+        """Append records and return once they are stored.
 
         Raises:
-          LogRefused: they certainly are not, and will not be.
-          LogUnavailable: they may be, now or later.
-          RecordError: one is larger than the store takes.
+          LogRefused: the records are not stored and never will be.
+          LogUnavailable: the records may be stored, now or later.
+          RecordError: a record is larger than the store accepts.
         """
         for record in records:
             self.check_size(record)
@@ -132,13 +133,13 @@
         await self.outcome(write, timeout_s)
 
     def check_size(self, record: ledgers.LedgerRecord) -> None:
-        """Make sure that the store can take a record at all.
+        """Check that a record is within the store's size limits.
 
-        It refuses one that is too large each time, and whatever waits
-        behind it would never be kept.
+        The store would refuse an oversized record at each retry, which
+        would block all writes queued behind it.
 
         Raises:
-          RecordError: it cannot.
+          RecordError: the record or its key is too large.
         """
         key_size = len(record.key.encode())
         size = 1 + key_size + len(record.value)
@@ -150,13 +151,13 @@
                 peer="ledger",
             )
 
-    def put(self, make: Maker, size: int, timeout_s: float) -> Write:
-        """Let a write wait for its append.
+    def put(self, make: RecordFactory, size: int, timeout_s: float) -> Write:
+        """Queue a write.
 
         Args:
-          make: Makes its records.
-          size: Their bytes, about.
-          timeout_s: Time after which it need not be kept any more.
+          make: Returns the records.
+          size: Approximate size of the records in bytes.
+          timeout_s: Time after which the write is no longer wanted.
         """
         now = self.clock.monotonic()
         done = asyncio.get_running_loop().create_future()
@@ -164,177 +165,188 @@
         if self.closed:
             settle(write, refused("the partition has another owner"))
             return write
-        self.waiting.append(write)
-        self.work.set()
+        self.queued.append(write)
+        self.has_queued.set()
         return write
 
     async def outcome(self, write: Write, timeout_s: float) -> None:
-        """Wait for what becomes of a write; errors as ``write``."""
-        # Behind the time at which a refused write is told to give up.
-        slack_s = 2 * MAX_PAUSE_S
+        """Wait for the outcome of a write; raises the errors of ``write``."""
+        # Leaves the append loop time to refuse an expired write itself.
+        slack_s = 2 * MAX_RETRY_PAUSE_S
         try:
             async with asyncio.timeout(timeout_s + slack_s):
                 await asyncio.shield(write.done)
         except TimeoutError:
-            if write in self.waiting:
-                # It has not been part of any call yet.
-                self.waiting.remove(write)
+            if write in self.queued:
+                # It has not been part of any append yet.
+                self.queued.remove(write)
                 error = refused("no answer of the store in time")
                 settle(write, error)
                 raise error from None
             raise unknown("no answer of the store in time") from None
 
     async def run(self) -> None:
-        """Append what waits, for ever."""
+        """Append queued writes until fenced off or cancelled."""
         try:
-            going_on = True
-            while going_on:
-                while not self.waiting:
-                    self.work.clear()
-                    await self.work.wait()
-                self.taken = self.take()
-                going_on = await self.append(self.taken)
+            active = True
+            while active:
+                while not self.queued:
+                    self.has_queued.clear()
+                    await self.has_queued.wait()
+                self.in_flight = self.take_batch()
+                active = await self.append(self.in_flight)
         except (Exception, asyncio.CancelledError) as error:
             if tasks.cancelled():
                 raise
-            # Without its writer an owner keeps nothing, and waits for ever.
+            # An owner without a writer would store nothing and wait for ever.
             LOG.error(
-                "Writer of partition {} ended by an error: {}",
+                "Writer of partition {} stopped by an unexpected error: {}",
                 self.part,
                 "".join(traceback.format_exception(error)),
             )
             self.stop()
             self.on_fenced()
 
-    def take(self) -> list[Write]:
-        """Take what fits into one call."""
-        taken = [self.waiting.pop(0)]
-        size = taken[0].size
-        while self.waiting:
-            size += self.waiting[0].size
+    def take_batch(self) -> list[Write]:
+        """Remove and return the queued writes that fit into one append."""
+        batch = [self.queued.pop(0)]
+        size = batch[0].size
+        while self.queued:
+            size += self.queued[0].size
             if size > self.ledger.append_bytes:
                 break
-            taken.append(self.waiting.pop(0))
-        return taken
+            batch.append(self.queued.pop(0))
+        return batch
 
-    async def append(self, taken: list[Write]) -> bool:
-        """Append until it is known what became of it.
+    async def append(self, batch: list[Write]) -> bool:
+        """Append writes, with retries until their outcome is known.
 
         Returns:
-          Whether to go on.
+          False if another writer has taken over.
         """
-        tried = attempt.Attempt()
-        pause_s = PAUSE_S
-        wait_s = self.answer_s * ANSWER_TIMES
+        attempted = attempt.Attempt()
+        pause_s = RETRY_PAUSE_S
+        timeout_s = self.mean_answer_s * ANSWER_TIMEOUT_FACTOR
         records: list[ledgers.LedgerRecord] = []
         while True:
-            if not tried.maybe_taken:
-                records = made(taken)
+            if not attempted.maybe_taken:
+                records = make_records(batch)
                 if not records:
-                    settle_all(taken)
+                    settle_all(batch)
                     return True
-            wait_s = min(max(wait_s, LEAST_ANSWER_S), MOST_ANSWER_S)
-            error = await self.call(records, wait_s)
+            timeout_s = min(
+                max(timeout_s, MIN_ANSWER_TIMEOUT_S), MAX_ANSWER_TIMEOUT_S
+            )
+            error = await self.call(records, timeout_s)
             if error is None:
                 self.sequence += 1
                 self.on_written(records)
-                settle_all(taken)
+                settle_all(batch)
                 return True
             if isinstance(error, errors.LogFenced):
-                self.fenced(taken, tried)
+                self.close_fenced(batch, attempted)
                 return False
-            tried.on_error(error)
-            if tried.maybe_taken:
-                LOG.info("Append of {} unknown: {}", self.part, error)
-                wait_s *= 2
+            attempted.on_error(error)
+            if attempted.maybe_taken:
+                LOG.info(
+                    "Outcome of an append to partition {} is unknown: {}",
+                    self.part,
+                    error,
+                )
+                timeout_s *= 2
             else:
-                taken = self.in_time(taken)
-                if not taken:
+                batch = self.refuse_expired(batch)
+                if not batch:
                     return True
             await asyncio.sleep(pause_s)
-            pause_s = min(2 * pause_s, MAX_PAUSE_S)
+            pause_s = min(2 * pause_s, MAX_RETRY_PAUSE_S)
 
     async def call(
-        self, records: Records, wait_s: float
+        self, records: Records, timeout_s: float
     ) -> errors.LogError | None:
-        """Append once; return what was wrong, if anything."""
+        """Append once; return the error, if any."""
         fence = ledgers.Fence(self.epoch, self.sequence)
-        begun_at = self.clock.monotonic()
+        started_at = self.clock.monotonic()
         try:
-            async with asyncio.timeout(wait_s + CALL_SLACK_S):
+            async with asyncio.timeout(timeout_s + CALL_SLACK_S):
                 await self.ledger.append(
-                    self.topic, self.part, records, fence, wait_s
+                    self.topic, self.part, records, fence, timeout_s
                 )
         except errors.LogError as error:
             return error
         except (Exception, asyncio.CancelledError) as error:
             if tasks.cancelled():
                 raise
-            # Whether the store has it is not known; it is asked again, but
-            # not for ever, as an error that no code expects may be lasting.
-            self.odd += 1
-            if self.odd > MOST_ODD:
+            # The store may have the records. The append is repeated, but
+            # not for ever, as an unexpected error may be permanent.
+            self.unexpected_errors += 1
+            if self.unexpected_errors > MAX_UNEXPECTED_ERRORS:
                 raise
             return unknown(f"no answer: {error!r}")
-        self.odd = 0
-        took_s = self.clock.monotonic() - begun_at
-        self.answer_s += LEARN * (took_s - self.answer_s)
+        self.unexpected_errors = 0
+        answer_s = self.clock.monotonic() - started_at
+        self.mean_answer_s += ANSWER_MEAN_WEIGHT * (
+            answer_s - self.mean_answer_s
+        )
         return None
 
-    def fenced(self, taken: list[Write], tried: attempt.Attempt) -> None:
-        """End: another writer has taken over."""
+    def close_fenced(
+        self, batch: list[Write], attempted: attempt.Attempt
+    ) -> None:
+        """Close the writer after another one has taken over."""
         self.closed = True
-        if tried.maybe_taken:
-            for write in taken:
+        if attempted.maybe_taken:
+            for write in batch:
                 settle(write, unknown("fenced off meanwhile"))
-        why = "the partition has another owner"
-        self.refuse([*taken, *self.waiting], why)
+        reason = "the partition has another owner"
+        self.refuse([*batch, *self.queued], reason)
         self.on_fenced()
 
-    def in_time(self, taken: list[Write]) -> list[Write]:
-        """Refuse writes whose callers wait no longer; return the others."""
+    def refuse_expired(self, batch: list[Write]) -> list[Write]:
+        """Refuse writes that have expired; return the others."""
         now = self.clock.monotonic()
-        late = [write for write in taken if now >= write.give_up_at]
-        self.refuse(late, "no answer of the store in time")
-        return [write for write in taken if now < write.give_up_at]
+        expired = [write for write in batch if now >= write.expires_at]
+        self.refuse(expired, "no answer of the store in time")
+        return [write for write in batch if now < write.expires_at]
 
-    def refuse(self, writes: list[Write], why: str) -> None:
-        """Tell callers that their records are certainly not kept."""
+    def refuse(self, writes: list[Write], reason: str) -> None:
+        """Tell callers that their records are not stored and never will be."""
         for write in writes:
-            settle(write, refused(why))
+            settle(write, refused(reason))
 
 
-def made(taken: list[Write]) -> list[ledgers.LedgerRecord]:
-    """Return the records of some writes, in order."""
+def make_records(batch: list[Write]) -> list[ledgers.LedgerRecord]:
+    """Return the records of a batch of writes, in order."""
     records: list[ledgers.LedgerRecord] = []
-    for write in taken:
+    for write in batch:
         records += write.make(records)
     return records
 
 
-def settle_all(taken: list[Write]) -> None:
-    """Tell the callers of some writes that their records are kept."""
-    for write in taken:
+def settle_all(batch: list[Write]) -> None:
+    """Tell the callers of a batch of writes that their records are stored."""
+    for write in batch:
         settle(write, None)
 
 
 def settle(write: Write, error: errors.LogError | None) -> None:
-    """Tell the caller of a write what became of it, if it still waits."""
+    """Pass the outcome of a write to its caller, unless already passed."""
     if write.done.done():
         return
     if error is None:
         write.done.set_result(None)
         return
     write.done.set_exception(error)
-    # Its caller may have given up, and nobody else asks.
+    # Marks the error as retrieved, as the caller may have given up: asyncio
+    # reports one that nobody retrieves.
     write.done.exception()
 
 
-def refused(why: str) -> errors.LogRefused:
-    """Return the error of a write that certainly was not kept."""
-    return errors.LogRefused(why, step="append", peer="ledger")
+def refused(reason: str) -> errors.LogRefused:
+    """Return the error of a write that is not stored and never will be."""
+    return errors.LogRefused(reason, step="append", peer="ledger")
 
 
-def unknown(why: str) -> errors.LogUnavailable:
-    """Return the error of a write that may have been kept."""
-    return errors.LogUnavailable(why, step="append", peer="ledger")
+def unknown(reason: str) -> errors.LogUnavailable:
+    """Return the error of a write that may have been stored."""
+    return errors.LogUnavailable(reason, step="append", peer="ledger")
