--- a/camphortray/ownership.py
+++ b/camphortray/ownership.py
@@ -1,4 +1,4 @@
-"""Keeps a shard owned by the host that should own it."""
+"""Takes part in the ownership of a stream on behalf of one host."""
 
 __all__ = ["Members", "Owner", "Roster"]
 
@@ -21,35 +21,37 @@
 from camphortray import tasks
 
 LOG = logs.logger("ownership")
-# Time for one record of ownership, in seconds.
-APPEND_S = 2.0
-# Shortest time from one look to the next, in seconds.
+# Time-out of the append of an ownership record.
+APPEND_TIMEOUT_S = 2.0
+# Shortest pause between two evaluations of the takeover policy.
 MIN_WAIT_S = 0.01
-# Pause after one could not be appended, in seconds.
-PAUSE_S = 0.5
-# Time after the start during which a host that is not known yet may only
-# be one that was not heard of, in seconds.
-SETTLE_S = 2.0
-# A suspected owner is challenged at once. If it lives it answers through
-# the log, which costs two records; waiting until it is held for dead would
-# cost its jobs the seconds that a refutation may take.
-DOUBTED = frozenset({membership.Status.SUSPECT, membership.Status.DEAD})
+# Pause after an ownership record could not be appended.
+RETRY_PAUSE_S = 0.5
+# Time after the start during which an owner that is missing from the member
+# list counts as live, as gossip may not have delivered it yet.
+STARTUP_GRACE_S = 2.0
+# A suspected owner is challenged at once. If it is alive it answers through
+# the log, at the cost of two records; waiting until it is declared dead would
+# delay its jobs by the seconds that a refutation may take.
+SUSPECTED_STATUSES = frozenset(
+    {membership.Status.SUSPECT, membership.Status.DEAD}
+)
 
 
 class Roster(abc.ABC):
-    """Which hosts could own a shard, and how they appear from here."""
+    """The hosts that can own a shard, and their liveness seen from here."""
 
     @abc.abstractmethod
     def live(self) -> list[str]:
-        """Return writers' names of live hosts, this one too."""
+        """Return the writer names of the live hosts, including this one."""
 
     @abc.abstractmethod
     def sight(self, owner: records.Writer) -> takeover.Sight:
-        """Return how an owner appears."""
+        """Return the liveness of an owner."""
 
 
-class Alone(Roster):
-    """A roster of one, for tools and tests; trusts every owner."""
+class SingleHost(Roster):
+    """A roster of one host for tools and tests; every owner counts as live."""
 
     def __init__(self, name: str) -> None:
         self.name = name
@@ -62,12 +64,12 @@
 
 
 class Members(Roster):
-    """The members that run one program."""
+    """The cluster members that run this host's program."""
 
     def __init__(self, context: kernel.Context) -> None:
         self.context = context
         self.members = context.part(membership.Membership)
-        self.since = context.clock.monotonic()
+        self.created_at = context.clock.monotonic()
 
     def live(self) -> list[str]:
         return [m.name for m in self.members.live(self.context.program)]
@@ -77,29 +79,29 @@
             return takeover.Sight.GONE
         member = self.members.members.get(owner.name)
         if member is None:
-            age_s = self.context.clock.monotonic() - self.since
-            known = age_s < SETTLE_S
+            age_s = self.context.clock.monotonic() - self.created_at
+            live = age_s < STARTUP_GRACE_S
         else:
-            known = member.status not in DOUBTED
-        return takeover.Sight.LIVE if known else takeover.Sight.LOST
+            live = member.status not in SUSPECTED_STATUSES
+        return takeover.Sight.LIVE if live else takeover.Sight.LOST
 
 
 class Owner(tasks.Background):
-    """This process's part in owning one stream.
+    """Claims, defends and releases one stream for this process.
 
-    ``start`` lets it take the stream over by itself and answer for it;
-    without, it only tells gain and loss.
+    After ``start`` it follows the takeover policy and answers challenges;
+    without ``start`` it only reports gain and loss of the stream.
 
     Attributes:
-      journal: The stream.
-      on_gain: Called with the new epoch when this process owns it.
-      on_loss: Called when it no longer does; whatever it sends to the
-        log afterwards is void.
-      busy: Says whether handing over now would cost work that cannot be
-        done again; while it does, the stream is given up by a drain
-        only, not to spread the load.
-      before_release: Awaited before the stream is handed over by choice;
-        returns when nothing is in flight that only this process knows.
+      journal: Journal of the stream.
+      on_gain: Called with the new epoch when this process becomes the owner.
+      on_loss: Called when this process is the owner no more; what it appends
+        afterwards is void.
+      busy: Returns whether a handover now would lose work that must not be
+        repeated. While it returns true, the stream is released only by a
+        drain, not to balance the load.
+      before_release: Awaited before a release; returns once nothing is in
+        flight that is not in the log.
     """
 
     def __init__(
@@ -110,41 +112,41 @@
     ) -> None:
         super().__init__()
         self.journal = held
-        self.roster = roster or Alone(held.writer.name)
+        self.roster = roster or SingleHost(held.writer.name)
         self.policy = takeover.Policy(held.writer, timing)
         self.on_gain: Callable[[int], None] = ignore_epoch
         self.on_loss: Callable[[], None] = ignore
-        self.busy: Callable[[], bool] = is_idle
-        self.before_release: Callable[[], Awaitable[None]] = wait_for_nothing
+        self.busy: Callable[[], bool] = never_busy
+        self.before_release: Callable[[], Awaitable[None]] = return_at_once
         self.owned_epoch = records.NO_EPOCH
-        self.seen: object = None
+        self.last_ownership: object = None
         self.draining = False
         self.changed = asyncio.Event()
         held.listen(self.on_outcome)
-        held.on_restore(self.tell)
+        held.on_restore(self.report_change)
 
     @property
     def epoch(self) -> int:
-        """Epoch in force."""
+        """Current epoch of the stream."""
         return self.journal.fold.ownership.epoch
 
     @property
     def owned(self) -> bool:
-        """Whether this process owns the stream, as far as it has read."""
+        """Whether this process owns the stream, by the records read so far."""
         return self.journal.fold.ownership.owner == self.journal.writer
 
     def on_outcome(self, outcome: folds.Outcome) -> None:
-        """Look anew after each record that may matter."""
+        """Evaluate the policy again if a record changed the ownership."""
         held = self.journal.fold.ownership
-        now = (held.epoch, held.owner, held.challenge)
-        if now != self.seen:
-            # Also a release, upon which another host claims at once.
-            self.seen = now
+        ownership = (held.epoch, held.owner, held.challenge)
+        if ownership != self.last_ownership:
+            # This includes a release, after which another host claims at once.
+            self.last_ownership = ownership
             self.changed.set()
-        self.tell()
+        self.report_change()
 
-    def tell(self) -> None:
-        """Tell gain and loss as the stream tells them."""
+    def report_change(self) -> None:
+        """Call ``on_loss`` and ``on_gain`` if the owned epoch has changed."""
         epoch = self.epoch if self.owned else records.NO_EPOCH
         if epoch == self.owned_epoch:
             return
@@ -152,30 +154,30 @@
         self.owned_epoch = epoch
         self.changed.set()
         if lost:
-            LOG.notice("Lost {}.", self.journal.stream)
+            LOG.notice("Lost ownership of {}.", self.journal.stream)
             self.on_loss()
         if epoch != records.NO_EPOCH:
-            LOG.info("Owns {} from {}.", self.journal.stream, epoch)
+            LOG.info("Owns {} as of epoch {}.", self.journal.stream, epoch)
             self.on_gain(epoch)
 
     def wake(self) -> None:
-        """Look anew, e.g. because the roster has changed."""
+        """Evaluate the policy again, e.g. because the roster has changed."""
         self.changed.set()
 
     def doubt(self) -> None:
-        """Challenge the owner: it failed at a request of ours."""
+        """Challenge the owner, which failed to serve a request."""
         self.policy.doubt(self.epoch)
         self.changed.set()
 
     async def run(self) -> None:
-        """Do what the policy says, for ever."""
+        """Carry out the steps of the takeover policy until cancelled."""
         await self.journal.caught_up.wait()
         while True:
             self.changed.clear()
             step = self.next_step()
             wait_s = max(step.again_s, MIN_WAIT_S)
-            if step.kind and not await self.take(step):
-                wait_s = PAUSE_S
+            if step.kind and not await self.append_step(step):
+                wait_s = RETRY_PAUSE_S
             elif step.kind:
                 continue
             with contextlib.suppress(TimeoutError):
@@ -183,7 +185,7 @@
                     await self.changed.wait()
 
     def next_step(self) -> takeover.Step:
-        """Ask the policy."""
+        """Return the step that the policy decides on now."""
         held = self.journal.fold.ownership
         owner = held.owner
         sight = takeover.Sight.LIVE if owner is None else self.sight(owner)
@@ -192,45 +194,50 @@
         return self.policy.step(seen, asyncio.get_running_loop().time())
 
     def sight(self, owner: records.Writer) -> takeover.Sight:
-        """Return how an owner appears."""
+        """Return the liveness of an owner."""
         return self.roster.sight(owner)
 
     def rank(self) -> int:
-        """Return this host's place in the stream's rendezvous order."""
+        """Return this host's position in the stream's rendezvous order."""
         name = self.journal.writer.name
         names = {*self.roster.live(), name}
         return shards.rank(self.journal.stream, names).index(name)
 
-    async def take(self, step: takeover.Step) -> bool:
-        """Append what a step asks for; return whether it was read back."""
+    async def append_step(self, step: takeover.Step) -> bool:
+        """Append the record of a step; return whether it was read back."""
         try:
             if step.kind == folds.RELEASE:
                 await self.before_release()
             await self.journal.append(
-                step.kind, step.body, self.epoch, APPEND_S
+                step.kind, step.body, self.epoch, APPEND_TIMEOUT_S
             )
         except errors.LogError as error:
-            LOG.warning("{}: {} failed: {}", step.kind, step.body, error)
+            LOG.warning(
+                "Append of {} record {} failed: {}",
+                step.kind,
+                step.body,
+                error,
+            )
             return False
         return True
 
     async def release(self, timeout_s: float = 10.0) -> None:
-        """Hand the stream over and take it no more; for a drain."""
+        """Release the stream and claim it no more; for a drain."""
         self.draining = True
         self.changed.set()
         if self.task is None and self.owned:
-            await self.take(takeover.Step(folds.RELEASE))
+            await self.append_step(takeover.Step(folds.RELEASE))
             return
         with contextlib.suppress(TimeoutError):
             async with asyncio.timeout(timeout_s):
                 while self.owned:
-                    await asyncio.sleep(PAUSE_S / 10)
+                    await asyncio.sleep(RETRY_PAUSE_S / 10)
 
     async def claim(self) -> None:
-        """Claim the stream if nobody owns it.
+        """Claim the stream if it has no owner.
 
         Raises:
-          LogError: the log cannot be reached.
+          LogError: the log is unreachable.
         """
         await self.journal.caught_up.wait()
         if self.journal.fold.ownership.owner is None:
@@ -238,23 +245,23 @@
             await self.journal.append(folds.CLAIM, dataclasses.asdict(claim))
 
 
-def is_idle() -> bool:
-    """Say that nothing is lost by handing over."""
+def never_busy() -> bool:
+    """Return that a handover loses no work."""
     return False
 
 
 def first_rank() -> int:
-    """Rank a host as the one that should own the stream."""
+    """Return the rank of the preferred owner."""
     return 0
 
 
 def ignore() -> None:
-    """Do nothing."""
+    """Ignore a loss of ownership."""
 
 
 def ignore_epoch(epoch: int) -> None:
-    """Do nothing."""
+    """Ignore a gain of ownership."""
 
 
-async def wait_for_nothing() -> None:
-    """Return at once."""
+async def return_at_once() -> None:
+    """Return at once, as nothing has to be flushed."""
