--- a/camphortray/takeover.py
+++ b/camphortray/takeover.py
@@ -1,13 +1,13 @@
-"""Decides when to challenge, claim, answer for or release a stream.
+"""Decides when a host challenges, claims, defends or releases a stream.
 
-While the owner lives nobody writes anything. Three rules keep hosts from
-taking a stream back and forth:
+While the owner is alive no host appends ownership records. Three rules keep
+a stream from moving back and forth between hosts:
 
-- an owner taken for lost is challenged first, and any record of its
-  epoch stands against the claim that would follow;
-- a challenge that was answered is not repeated for a while: the owner
-  reaches the log, only not us;
-- hosts act one after the other, in the rendezvous order of the stream.
+- an owner that appears lost is challenged before it is replaced, and any
+  record of its epoch after the challenge invalidates the claim;
+- an answered challenge is not repeated for a while, as its owner reaches the
+  log and only the link between the two hosts has failed;
+- hosts act one after another, in the rendezvous order of the stream.
 """
 
 __all__ = ["Policy", "Seen", "Sight", "Step", "Timing"]
@@ -22,7 +22,7 @@
 
 
 class Sight(enum.Enum):
-    """How a host appears from here."""
+    """Liveness of a host as this host sees it."""
 
     LIVE = "live"
     LOST = "does not answer"
@@ -31,33 +31,34 @@
 
 @dataclasses.dataclass(frozen=True)
 class Timing:
-    """Waits, in seconds.
+    """Waiting times of the policy.
 
     Attributes:
-      patience_s: From a challenge read to the claim.
-      stagger_s: For each host that comes first in rendezvous order.
-      answered_s: From an answered challenge to the next.
-      rebalance_s: For which another host must have come first before an
-        owner hands over to it.
+      patience_s: Time that an owner has to answer a challenge.
+      stagger_s: Additional delay for each host that precedes this one in
+        rendezvous order.
+      challenge_interval_s: Time from an answered challenge to the next.
+      rebalance_s: Time for which another host must have been the preferred
+        owner before the owner releases the stream.
     """
 
     patience_s: float = 0.6
     stagger_s: float = 0.4
-    answered_s: float = 10.0
+    challenge_interval_s: float = 10.0
     rebalance_s: float = 30.0
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Seen:
-    """What a step looks at.
+    """Input of one decision.
 
     Attributes:
-      held: Ownership as folded.
-      sight: How the owner appears, if there is one.
-      rank: Gives this host's place in the rendezvous order of the live
-        hosts, 0 for the first; asked only if needed, as it costs a hash
+      held: Ownership according to the log.
+      sight: Liveness of the owner, if there is one.
+      rank: Returns this host's position in the rendezvous order of the live
+        hosts, 0 for the first. Called only if needed, as it computes a hash
         for each host.
-      draining: Whether this host is about to leave.
+      draining: Whether this host is shutting down.
     """
 
     held: folds.Ownership
@@ -68,12 +69,12 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Step:
-    """What to do now.
+    """Result of one decision.
 
     Attributes:
       kind: Kind of the record to append, or empty.
-      body: Its body.
-      again_s: When to look again unless something changes, in seconds.
+      body: Body of the record.
+      again_s: Time until the next decision if nothing changes.
     """
 
     kind: str = ""
@@ -81,15 +82,19 @@
     again_s: float = 60.0
 
 
-NOTHING = Step()
+NO_STEP = Step()
 
 
 class Policy:
-    """One host's decisions about one stream.
+    """Takeover decisions of one host about one stream.
 
     Attributes:
-      doubted: Epoch whose owner failed at a request although it appears
-        live, e.g. because it does not reach the log; challenged once.
+      suspected_epoch: Epoch whose owner failed to serve a request although
+        it appears live, e.g. because it does not reach the log; it is
+        challenged once.
+      condition: The condition whose duration is timed, and when it began.
+      challenge: Offset of the last challenge seen, and when it was read.
+      answered_at: When a challenge was last answered.
     """
 
     def __init__(
@@ -97,93 +102,100 @@
     ) -> None:
         self.writer = writer
         self.timing = timing or Timing()
-        self.doubted = records.NO_EPOCH
-        self.since: tuple[Any, float] = (None, 0.0)
+        self.suspected_epoch = records.NO_EPOCH
+        self.condition: tuple[Any, float] = (None, 0.0)
         self.epoch = records.NO_EPOCH
         self.challenge = (records.NO_EPOCH, 0.0)
-        self.answered_at = -self.timing.answered_s
+        self.answered_at = -self.timing.challenge_interval_s
 
     def doubt(self, epoch: int) -> None:
         """Challenge the owner of an epoch although it appears live."""
-        self.doubted = epoch
+        self.suspected_epoch = epoch
 
     def step(self, seen: Seen, now: float) -> Step:
-        """Return what to do now.
+        """Return the next step.
 
         Args:
-          seen: What is known.
-          now: Monotonic seconds.
+          seen: Current state of the stream and its owner.
+          now: Time on the monotonic clock.
         """
         held = seen.held
         self.note_challenge(held, now)
         if held.owner == self.writer:
-            return self.as_owner(seen, now)
+            return self.owner_step(seen, now)
         if seen.draining:
-            return NOTHING
+            return NO_STEP
         if held.owner is None:
-            return self.in_turn(seen, now, self.claim(held, gone=True))
+            return self.staggered(seen, now, self.claim(held, gone=True))
         if held.owner.name == self.writer.name:
-            # The life before this one. A later one, if this process is
-            # the one left behind, has voided whatever it could write.
-            later = held.owner.incarnation < self.writer.incarnation
-            return self.claim(held, gone=True) if later else NOTHING
+            # An earlier incarnation of this host has certainly ended. If the
+            # owner is a later one, all that this process appends is void.
+            ended = held.owner.incarnation < self.writer.incarnation
+            return self.claim(held, gone=True) if ended else NO_STEP
         if seen.sight is Sight.GONE:
-            return self.in_turn(seen, now, self.claim(held, gone=True))
-        if seen.sight is Sight.LOST or self.doubted == held.epoch:
-            return self.against(seen, now)
-        return NOTHING
+            return self.staggered(seen, now, self.claim(held, gone=True))
+        if seen.sight is Sight.LOST or self.suspected_epoch == held.epoch:
+            return self.replace_owner(seen, now)
+        return NO_STEP
 
-    def as_owner(self, seen: Seen, now: float) -> Step:
-        """Return what an owner does."""
+    def owner_step(self, seen: Seen, now: float) -> Step:
+        """Return the next step of the owner."""
         if seen.held.challenge != records.NO_EPOCH:
             return Step(folds.ALIVE)
         if seen.draining:
             return Step(folds.RELEASE)
         if seen.rank() == 0:
-            self.since = (None, now)
-            return NOTHING
-        wait = self.waited("rebalance", now, self.timing.rebalance_s)
-        return Step(again_s=wait) if wait > 0 else Step(folds.RELEASE)
+            self.condition = (None, now)
+            return NO_STEP
+        wait_s = self.remaining_s("rebalance", now, self.timing.rebalance_s)
+        return Step(again_s=wait_s) if wait_s > 0 else Step(folds.RELEASE)
 
-    def against(self, seen: Seen, now: float) -> Step:
-        """Return what to do against an owner taken for lost."""
+    def replace_owner(self, seen: Seen, now: float) -> Step:
+        """Return the next step towards replacing an owner thought lost."""
         held = seen.held
         if held.challenge != records.NO_EPOCH:
-            turn_s = seen.rank() * self.timing.stagger_s
-            left = self.challenge[1] + self.timing.patience_s + turn_s - now
-            return Step(again_s=left) if left > 0 else self.claim(held)
-        left = self.answered_at + self.timing.answered_s - now
-        if left > 0:
-            return Step(again_s=left)
+            delay_s = seen.rank() * self.timing.stagger_s
+            wait_s = self.challenge[1] + self.timing.patience_s + delay_s - now
+            return Step(again_s=wait_s) if wait_s > 0 else self.claim(held)
+        wait_s = self.answered_at + self.timing.challenge_interval_s - now
+        if wait_s > 0:
+            return Step(again_s=wait_s)
         challenge = folds.Challenge(held.epoch)
-        return self.in_turn(
+        return self.staggered(
             seen, now, Step(folds.CHALLENGE, dataclasses.asdict(challenge))
         )
 
-    def in_turn(self, seen: Seen, now: float, step: Step) -> Step:
-        """Return ``step`` once those before this host had their turn."""
-        what = (seen.held.epoch, step.kind, seen.sight)
-        wait = self.waited(what, now, seen.rank() * self.timing.stagger_s)
-        return Step(again_s=wait) if wait > 0 else step
+    def staggered(self, seen: Seen, now: float, step: Step) -> Step:
+        """Return ``step`` once the hosts of lower rank had time to act."""
+        condition = (seen.held.epoch, step.kind, seen.sight)
+        wait_s = self.remaining_s(
+            condition, now, seen.rank() * self.timing.stagger_s
+        )
+        return Step(again_s=wait_s) if wait_s > 0 else step
+
+    def remaining_s(
+        self, condition: Any, now: float, required_s: float
+    ) -> float:
+        """Return the time until a condition has lasted long enough.
 
-    def waited(self, what: Any, now: float, needed_s: float) -> float:
-        """Return how long to wait until something has held long enough."""
-        if self.since[0] != what:
-            self.since = (what, now)
-        return self.since[1] + needed_s - now
+        Only the latest condition is timed; another one restarts the clock.
+        """
+        if self.condition[0] != condition:
+            self.condition = (condition, now)
+        return self.condition[1] + required_s - now
 
     def note_challenge(self, held: folds.Ownership, now: float) -> None:
-        """Note when a challenge appears and when it is answered."""
+        """Record when a challenge is read and when it is answered."""
         if held.epoch != self.epoch:
             self.epoch = held.epoch
-            self.answered_at = now - self.timing.answered_s
+            self.answered_at = now - self.timing.challenge_interval_s
         elif self.challenge[0] != records.NO_EPOCH == held.challenge:
             self.answered_at = now
-            self.doubted = records.NO_EPOCH
+            self.suspected_epoch = records.NO_EPOCH
         if held.challenge != self.challenge[0]:
             self.challenge = (held.challenge, now)
 
     def claim(self, held: folds.Ownership, gone: bool = False) -> Step:
-        """Return the step that claims."""
+        """Return the step that claims the stream."""
         claim = folds.Claim(held.epoch, held.challenge, gone)
         return Step(folds.CLAIM, dataclasses.asdict(claim))
--- a/tests/test_takeover.py
+++ b/tests/test_takeover.py
@@ -1,4 +1,4 @@
-"""Tests of who takes a stream over, when, and who does not."""
+"""Tests of the takeover policy and of hosts that follow it on a shared log."""
 
 import asyncio
 import contextlib
@@ -23,7 +23,7 @@
 @pytest.mark.parametrize(
     ("held", "sight", "rank", "draining", "kinds"),
     [
-        # (epoch, owner, challenge), then what is done at 0, 0.3, 0.7, 31 s
+        # (epoch, owner, challenge); the steps are those at 0, 0.3, 0.7, 31 s.
         ((-1, None, -1), LIVE, 0, False, ["claim"] * 4),
         ((-1, None, -1), LIVE, 1, False, ["", "", "claim", "claim"]),
         ((-1, None, -1), LIVE, 0, True, [""] * 4),
@@ -33,8 +33,8 @@
         ((3, OTHER, 4), LOST, 0, False, ["", "", "claim", "claim"]),
         ((3, OTHER, -1), GONE, 0, False, ["claim"] * 4),
         ((3, OTHER, -1), GONE, 1, False, ["", "", "claim", "claim"]),
-        # An earlier life of this host is gone for certain, a later one
-        # means that this process was left behind.
+        # An earlier incarnation of this host has certainly ended; a later
+        # one means that this process is outdated.
         (
             (3, records.Writer("me/batch", 4), -1),
             LIVE,
@@ -46,7 +46,7 @@
         ((3, ME, 4), LIVE, 0, False, ["alive"] * 4),
         ((3, ME, -1), LIVE, 0, False, [""] * 4),
         ((3, ME, -1), LIVE, 0, True, ["release"] * 4),
-        # Another host comes first: hand over, but only after a while.
+        # Another host is preferred: release only after the rebalance time.
         ((3, ME, -1), LIVE, 1, False, ["", "", "", "release"]),
     ],
 )
@@ -61,9 +61,10 @@
     assert all(step.again_s > 0 for step in steps)
 
 
-def test_an_owner_that_answers_is_left_in_peace():
-    # The owner reaches the log but not us. It answers our challenge, and
-    # keeps the stream; we ask again only much later, not in a loop.
+def test_an_owner_that_answers_is_not_challenged_again_soon():
+    # The owner reaches the log but not this host. It answers the challenge
+    # and keeps the stream; the next challenge follows only after the
+    # challenge interval.
     policy = takeover.Policy(ME, TIMING)
 
     def step(challenge, now):
@@ -90,8 +91,8 @@
     assert [step(-1, now) for now in (0.3, 30.0)] == ["", ""]
 
 
-class Fleet:
-    """Hosts that share a log; who sees whom is set by hand."""
+class Cluster:
+    """Hosts that share a log; tests set how each sees the others."""
 
     def __init__(self, names):
         self.service = log.MemoryLog()
@@ -103,14 +104,14 @@
             self.add(name)
 
     def add(self, name):
-        fleet = self
+        cluster = self
 
         class Roster(ownership.Roster):
             def live(self):
-                return sorted(fleet.up)
+                return sorted(cluster.up)
 
             def sight(self, owner):
-                return fleet.sights.get((name, owner.name), LIVE)
+                return cluster.sights.get((name, owner.name), LIVE)
 
         held = journal.Journal(
             self.service,
@@ -127,7 +128,7 @@
         owner.start()
 
     def owner(self):
-        """Return who owns the stream by the log."""
+        """Return the name of the stream's owner according to the log."""
         held = next(iter(self.owners.values())).journal.fold.ownership
         return held.owner.name if held.owner else None
 
@@ -139,98 +140,98 @@
 
 @contextlib.asynccontextmanager
 async def running():
-    """Give a fleet whose stream has found an owner."""
-    # Not a fixture, as the time of those is not the test's.
-    made = Fleet(["a", "b", "c"])
+    """Yield a cluster whose stream has an owner."""
+    # Not a fixture, as fixtures do not run on the test's simulated clock.
+    cluster = Cluster(["a", "b", "c"])
     await asyncio.sleep(2)
-    yield made
-    await made.stop()
+    yield cluster
+    await cluster.stop()
 
 
 @pytest.mark.looptime
 @pytest.mark.parametrize("sight", [LOST, GONE])
-async def test_a_lost_owner_is_followed_by_one_other(sight):
-    # The owner is paused and the others take it for lost. One claims;
-    # the old owner hears of it as soon as it reads on, and what it wrote
-    # in its old epoch meanwhile is void.
-    async with running() as fleet:
-        first = fleet.owner()
-        old = fleet.owners[first]
+async def test_a_lost_owner_is_replaced_by_one_other(sight):
+    # The owner is paused and the others consider it lost. One of them
+    # claims the stream. The old owner learns of it once it reads the log
+    # again, and what it appends in its old epoch is void.
+    async with running() as cluster:
+        first = cluster.owner()
+        old = cluster.owners[first]
         epoch = old.epoch
         await old.stop()
         await old.journal.stop()
-        fleet.up.discard(first)
-        others = fleet.up.copy()
-        fleet.sights = {(name, first): sight for name in others}
+        cluster.up.discard(first)
+        others = cluster.up.copy()
+        cluster.sights = {(name, first): sight for name in others}
         for name in others:
-            fleet.owners[name].wake()
+            cluster.owners[name].wake()
         await asyncio.sleep(2.5)
-        second = fleet.owners[min(others)].journal.fold.ownership.owner.name
+        second = cluster.owners[min(others)].journal.fold.ownership.owner.name
         assert second in others
-        assert fleet.events == [(first, "gain"), (second, "gain")]
+        assert cluster.events == [(first, "gain"), (second, "gain")]
         old.journal.start()
         forget = {"calls": []}
         outcome = await old.journal.append(calls.FORGET, forget, epoch)
         assert outcome.verdict is folds.Verdict.STALE
-        assert fleet.events[-1] == (first, "loss")
+        assert cluster.events[-1] == (first, "loss")
 
 
 @pytest.mark.looptime
-async def test_hosts_out_of_reach_of_each_other_do_not_take_turns():
-    # Both reach the log. The owner answers each challenge, so the stream
-    # stays; and the log is not filled with challenges.
-    async with running() as fleet:
-        first = fleet.owner()
-        fleet.sights = {
-            (a, b): LOST for a in fleet.up for b in fleet.up if a != b
+async def test_hosts_cut_off_from_each_other_do_not_alternate():
+    # All hosts reach the log. The owner answers each challenge, so it keeps
+    # the stream, and the log is not filled with challenges.
+    async with running() as cluster:
+        first = cluster.owner()
+        cluster.sights = {
+            (a, b): LOST for a in cluster.up for b in cluster.up if a != b
         }
-        for owner in fleet.owners.values():
+        for owner in cluster.owners.values():
             owner.wake()
-        before = fleet.service.appends
+        before = cluster.service.appends
         await asyncio.sleep(25)
-        assert fleet.owner() == first
-        assert fleet.events == [(first, "gain")]
-        assert 0 < fleet.service.appends - before <= 12
+        assert cluster.owner() == first
+        assert cluster.events == [(first, "gain")]
+        assert 0 < cluster.service.appends - before <= 12
 
 
 @pytest.mark.looptime
 async def test_a_host_that_leaves_hands_over_at_once():
-    async with running() as fleet:
-        first = fleet.owner()
+    async with running() as cluster:
+        first = cluster.owner()
         flushed = []
 
         async def flush():
-            flushed.append(fleet.owner())
+            flushed.append(cluster.owner())
 
-        fleet.owners[first].before_release = flush
-        fleet.up.discard(first)
-        await fleet.owners[first].release()
+        cluster.owners[first].before_release = flush
+        cluster.up.discard(first)
+        await cluster.owners[first].release()
         assert flushed == [first]
         await asyncio.sleep(0.1)
-        assert fleet.owner() not in (first, None)
+        assert cluster.owner() not in (first, None)
 
 
 @pytest.mark.looptime
-async def test_nothing_is_written_while_all_is_well():
-    async with running() as fleet:
-        before = fleet.service.appends
+async def test_nothing_is_appended_while_the_owner_is_live():
+    async with running() as cluster:
+        before = cluster.service.appends
         await asyncio.sleep(3600)
-        assert fleet.service.appends == before
+        assert cluster.service.appends == before
 
 
 @pytest.mark.looptime
-async def test_a_busy_shard_is_not_moved_to_spread_the_load():
-    # A host comes that should own the shard. The owner runs items that
-    # may not run again, and hands over only when they have ended.
-    async with running() as fleet:
-        first = fleet.owner()
+async def test_a_busy_stream_is_not_moved_to_balance_the_load():
+    # A host joins that is the preferred owner. The owner runs items that
+    # must not run twice, and releases the stream only when they have ended.
+    async with running() as cluster:
+        first = cluster.owner()
         busy = [True]
-        fleet.owners[first].busy = lambda: busy[0]
-        fleet.owners[first].roster.live = lambda: ["z1", "z2", "z3", "z4"]
-        fleet.owners[first].wake()
+        cluster.owners[first].busy = lambda: busy[0]
+        cluster.owners[first].roster.live = lambda: ["z1", "z2", "z3", "z4"]
+        cluster.owners[first].wake()
         await asyncio.sleep(100)
-        assert fleet.owner() == first
+        assert cluster.owner() == first
         busy.clear()
         busy.append(False)
         await asyncio.sleep(200)
-        assert (first, "loss") in fleet.events
+        assert (first, "loss") in cluster.events
