--- a/camphortray/jobs.py
+++ b/camphortray/jobs.py
@@ -1,7 +1,7 @@
 """Fold of ``jobs.N``: batch jobs, their items and their results.
 
-The fold holds bitmaps and offsets, never bodies: those are read from
-the log again when they are needed.
+The fold holds item states and log offsets but no bodies; those are read from
+the log when they are needed.
 """
 
 __all__ = [
@@ -67,15 +67,15 @@
 job_id = jobstate.job_id
 shard_of = jobstate.shard_of
 
-# Ids of forgotten jobs kept to answer 410, oldest dropped first.
-MAX_FORGOTTEN = 10_000
+# Ids of deleted jobs that are kept to answer 410; the oldest is dropped first.
+MAX_FORGOTTEN_JOBS = 10_000
 
 
 class JobsFold(folds.Fold):
     """All jobs and files of a shard, by id.
 
-    Anyone may cancel: the order in the log decides whether a result came
-    first, so a cancel needs no owner.
+    A cancel may be appended by any host, not only by the owner: the order of
+    the records in the log decides whether a result came first.
     """
 
     owned = frozenset(
@@ -116,11 +116,12 @@
         )
 
     def on_epoch(self, epoch: int) -> None:
-        # Only the old owner could have finished them; resends come whole.
+        # Only the previous owner could have completed these uploads. A client
+        # that sends its job again sends all chunks.
         self.uploads.clear()
 
     def on_chunk(self, offset: int, record: records.Record) -> None:
-        """Take a chunk that follows the one before it."""
+        """Add a chunk to its upload if it is the next one."""
         chunk = records.typed(record.body, JobChunk)
         held = self.uploads.get((chunk.job, chunk.upload), jobstate.Upload())
         if chunk.first != held.count:
@@ -130,13 +131,13 @@
         held.count += len(chunk.items)
 
     def on_drop(self, offset: int, record: records.Record) -> None:
-        """Forget the chunks of a taking that failed."""
+        """Discard the chunks of an upload that failed."""
         drop = records.typed(record.body, JobDrop)
         if self.uploads.pop((drop.job, drop.upload), None) is None:
             raise folds.Refuse("no such upload")
 
     def on_accept(self, offset: int, record: records.Record) -> None:
-        """Accept a job whose chunks are all there."""
+        """Accept a job whose chunks are complete."""
         accept = records.typed(record.body, JobAccept)
         upload = self.uploads.pop(
             (accept.job, accept.upload), jobstate.Upload()
@@ -157,7 +158,7 @@
         )
 
     def on_file(self, offset: int, record: records.Record) -> None:
-        """Keep a file whose chunks are all there."""
+        """Accept an input file whose chunks are complete."""
         accept = records.typed(record.body, FileAccept)
         upload = self.uploads.pop(
             (accept.file, accept.upload), jobstate.Upload()
@@ -167,7 +168,7 @@
         self.files[accept.file] = InputFile(accept, upload.chunks)
 
     def on_file_forget(self, offset: int, record: records.Record) -> None:
-        """Drop a file; jobs made of it keep their chunks."""
+        """Delete a file; jobs created from it keep their chunks."""
         forget = records.typed(record.body, FileForget)
         if self.files.pop(forget.file, None) is None:
             raise folds.Refuse("no such file")
@@ -191,7 +192,7 @@
                 job.ended_at = body.written_at
 
     def on_start(self, offset: int, record: records.Record) -> None:
-        """Note items about to be dispatched; each only once, ever."""
+        """Mark items as dispatched; an item may be marked only once."""
         start = records.typed(record.body, JobStart)
         job = self.running(start.job, start.items)
         if any(
@@ -202,7 +203,7 @@
             job.started[item] = record.epoch
 
     def on_crash(self, offset: int, record: records.Record) -> None:
-        """Count a crash of each item that has no result."""
+        """Count an upstream crash for each item that has no result."""
         crash = records.typed(record.body, JobCrash)
         job = self.running(crash.job, crash.items)
         for item in crash.items:
@@ -210,7 +211,7 @@
                 job.crashes[item] = job.crashes.get(item, 0) + 1
 
     def on_cancel(self, offset: int, record: records.Record) -> None:
-        """Stop a job."""
+        """Cancel a running job."""
         cancel = records.typed(record.body, JobCancel)
         job = self.running(cancel.job)
         job.cancelled = True
@@ -219,30 +220,34 @@
         job.ended_at = cancel.at
 
     def on_forget(self, offset: int, record: records.Record) -> None:
-        """Drop a job that has ended."""
+        """Delete a job that has ended."""
         forget = records.typed(record.body, JobForget)
         job = self.jobs.get(forget.job)
         if job is None or job.status is JobStatus.RUNNING:
             raise folds.Refuse("not ended")
         del self.jobs[forget.job]
         self.forgotten[forget.job] = offset
-        while len(self.forgotten) > MAX_FORGOTTEN:
+        while len(self.forgotten) > MAX_FORGOTTEN_JOBS:
             del self.forgotten[next(iter(self.forgotten))]
 
     def on_carry(self, offset: int, record: records.Record) -> None:
-        """Note the new place of a record carried forward."""
+        """Replace the offset of a record that was copied to the log's end."""
         carry = records.typed(record.body, JobCarry)
         moved = [job.move(carry.of, offset) for job in self.jobs.values()]
         for held in self.files.values():
-            for index, (at, first) in enumerate(held.chunks):
-                if at == carry.of:
+            for index, (chunk_offset, first) in enumerate(held.chunks):
+                if chunk_offset == carry.of:
                     held.chunks[index] = (offset, first)
                     moved.append(True)
         if not any(moved):
             raise folds.Refuse("not needed")
 
     def running(self, job: str, items: tuple[int, ...] = ()) -> Job:
-        """Return a job that is running and has these items."""
+        """Return a running job after checking that it has these items.
+
+        Raises:
+          Refuse: the job is not running, or an item is out of range.
+        """
         held = self.jobs.get(job)
         if held is None or held.status is not JobStatus.RUNNING:
             raise folds.Refuse("not running")
@@ -251,7 +256,7 @@
         return held
 
     def needed(self) -> Iterator[int]:
-        """Yield the offsets of all records that are still read."""
+        """Yield the offsets of all records that may still be read."""
         for job in self.jobs.values():
             yield from job.records
             if job.status is JobStatus.RUNNING:
@@ -262,7 +267,10 @@
     def carry(
         self, offset: int, record: records.Record
     ) -> tuple[str, dict[str, Any]] | None:
-        """Return what to append so that a needed record lasts."""
+        """Return the kind and body of a copy to append of a needed record.
+
+        Returns None if the record is of a kind that is not copied.
+        """
         kind, body = record.kind, record.body
         if kind == CARRY:
             kind, body = body["kind"], body["body"]
--- a/tests/test_jobs.py
+++ b/tests/test_jobs.py
@@ -1,4 +1,4 @@
-"""Tests of the fold of jobs."""
+"""Tests of the fold of batch jobs and input files."""
 
 import dataclasses
 
@@ -14,7 +14,7 @@
 
 
 class Stream:
-    """A fold and the log before it."""
+    """A fold and the log of records that it applies."""
 
     def __init__(self, owner=OWNER):
         self.fold = jobs.JobsFold()
@@ -23,7 +23,7 @@
         self.claim(owner)
 
     def write(self, kind, body, writer=OWNER, epoch=None):
-        """Apply a record; return its verdict."""
+        """Apply a record; return the value of its verdict."""
         self.offset += 1
         number = self.numbers[writer] = self.numbers.get(writer, 0) + 1
         if dataclasses.is_dataclass(body):
@@ -70,7 +70,7 @@
         ([], 1, "refused"),
     ],
 )
-def test_a_job_is_accepted_only_when_all_chunks_are_there(
+def test_a_job_is_accepted_only_when_its_chunks_are_complete(
     chunks, upload, verdict
 ):
     stream = Stream()
@@ -81,9 +81,9 @@
     assert ("j" in stream.fold.jobs) == (verdict == "valid")
 
 
-def test_chunks_of_an_owner_that_was_lost_count_for_nobody():
-    # A host is lost while it takes a job, and the client sends it again.
-    # Half a job of the first taking must not be joined to the second.
+def test_chunks_of_a_lost_owner_are_discarded():
+    # A host is lost during an upload, and the client sends the job again.
+    # Chunks of the first upload must not be combined with the second.
     stream = Stream()
     stream.chunk(b"{}", b"{}")
     stream.claim(OTHER)
@@ -91,7 +91,7 @@
     assert stream.fold.uploads == {}
 
 
-def test_a_resend_is_the_same_job_also_after_it_was_forgotten():
+def test_a_resent_job_is_refused_also_after_its_deletion():
     stream = Stream()
     job = stream.accepted()
     stream.chunk(b"{}", b"{}", b"{}", upload=2)
@@ -105,9 +105,9 @@
 
 
 def test_the_first_result_counts_and_none_after_a_cancel():
-    # Two records hold a result of one item, as after a lost answer; and
-    # a result lands behind a cancel. Callers see the first, and nothing
-    # that came after the cancel.
+    # Two records hold a result of the same item, as after a lost answer, and
+    # one result follows a cancel. Callers see only the first result and
+    # none that follows the cancel.
     stream = Stream()
     job = stream.accepted()
     stream.result(0)
@@ -148,7 +148,7 @@
         (jobs.CARRY, jobs.JobCarry(99, jobs.CHUNK, {})),
     ],
 )
-def test_records_about_what_is_not_there_change_nothing(kind, body):
+def test_records_that_name_unknown_objects_change_nothing(kind, body):
     stream = Stream()
     stream.accepted()
     before = stream.fold.dump()
@@ -156,7 +156,7 @@
     assert stream.fold.dump() == before
 
 
-def test_crashes_are_counted_until_there_is_a_result():
+def test_crashes_of_an_item_are_counted_until_its_result():
     stream = Stream()
     job = stream.accepted()
     for _ in range(2):
@@ -168,7 +168,7 @@
     assert job.crashes == {2: 2}
 
 
-def test_a_file_is_kept_and_its_batch_takes_the_chunks_over():
+def test_a_batch_keeps_the_chunks_of_its_deleted_file():
     stream = Stream()
     stream.write(jobs.CHUNK, jobs.JobChunk("f", 1, 0, (b"{}",) * 3))
     accept = jobs.FileAccept("f", 1, "ws", "n", 3, 9, 60.0, 0.0, "/p", "m")
@@ -182,8 +182,8 @@
 
 
 def test_what_is_needed_is_carried_forward_and_stays_readable():
-    # The log is about to forget the records that a job still needs. The
-    # owner writes them again, and the state points to the new ones.
+    # The log is about to discard records that a job still needs. The owner
+    # appends copies, and the state refers to their offsets.
     stream = Stream()
     job = stream.accepted()
     stream.result(1)
