--- a/camphortray/jobrecords.py
+++ b/camphortray/jobrecords.py
@@ -1,4 +1,4 @@
-"""Records of ``jobs.N``: what is written about jobs and files."""
+"""Record types of the ``jobs.N`` streams, for batch jobs and input files."""
 
 __all__ = [
     "ACCEPT",
@@ -48,13 +48,14 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class JobChunk:
-    """Some items of a job or file that is being taken.
+    """Consecutive items of a job or file that is being uploaded.
 
     Attributes:
       job: Id of the job or file.
-      upload: Number of this taking; two resends do not mix.
+      upload: Number of the upload, which keeps the chunks of a resent job
+        apart from those of the first attempt.
       first: Index of the first item.
-      items: Lines as the caller sent them, one JSON object each.
+      items: Lines as the client sent them, one JSON object each.
     """
 
     job: str
@@ -65,7 +66,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class JobDrop:
-    """Ends a taking that will not be accepted."""
+    """Discards the chunks of an upload that will not be accepted."""
 
     job: str
     upload: int
@@ -73,24 +74,26 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class JobAccept:
-    """Makes a job of the chunks of one upload, or of a file.
+    """Creates a job from the chunks of an upload or of an input file.
 
     Attributes:
       job: Id of the job.
-      upload: Whose chunks.
-      workspace: Who asked.
-      key: The workspace's idempotency key.
-      service: Which service runs it.
+      upload: Number of the upload that holds the chunks.
+      workspace: Workspace that submitted the job.
+      key: Idempotency key, unique within the workspace.
+      service: Service that runs the items.
       count: Number of items.
-      digest: Of all items, to tell another job under the same key.
-      due: When it should be done, in seconds since 1970, or 0.
-      keep_s: How long results are kept after the end.
+      digest: Digest of all items, to detect that a key is used again for
+        another job.
+      due: Requested completion time in seconds since the Unix epoch, or 0.
+      keep_s: Retention of the results after the job has ended.
       idempotent: Whether an item may be run again.
-      path: Interface the items are for.
-      taken_at: When it was taken, in seconds since 1970; for people.
-      weight: Share among the jobs of its workspace.
-      file: Id of the input file whose chunks it takes, or empty.
-      metadata: The caller's own notes.
+      path: Path of the API that the items are requests to.
+      taken_at: Time of acceptance in seconds since the Unix epoch; for
+        display and the order of lists.
+      weight: Scheduling weight among the jobs of the workspace.
+      file: Id of the input file that holds the chunks, or empty.
+      metadata: Metadata set by the client.
     """
 
     job: str
@@ -112,19 +115,19 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class FileAccept:
-    """Makes an input file of the chunks of one upload.
+    """Creates an input file from the chunks of an upload.
 
     Attributes:
       file: Id of the file.
-      upload: Whose chunks.
-      workspace: Who sent it.
-      name: As the caller named it.
+      upload: Number of the upload that holds the chunks.
+      workspace: Workspace that uploaded the file.
+      name: File name given by the client.
       count: Number of lines.
-      size: Bytes of all lines with their ends.
-      keep_s: How long it is kept.
-      taken_at: When it was taken, in seconds since 1970.
-      path: Interface that its lines are for.
-      model: That its first line names.
+      size: Size of all lines in bytes, line ends included.
+      keep_s: Retention of the file after its acceptance.
+      taken_at: Time of acceptance in seconds since the Unix epoch.
+      path: Path of the API that the lines are requests to.
+      model: Model named in the first line.
     """
 
     file: str
@@ -141,7 +144,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class FileForget:
-    """Ends the keeping time of a file."""
+    """Deletes a file at the end of its retention or on request."""
 
     file: str
 
@@ -153,9 +156,9 @@
     Attributes:
       job: Id of the job.
       item: Index of the item.
-      status: How it ended.
-      body: JSON of the answer, or of the reason why there is none.
-      custom_id: The caller's own id of the item, if it gave one.
+      status: Status with which the item ended.
+      body: Answer as JSON, or the reason why there is none.
+      custom_id: Id of the item set by the client, or empty.
     """
 
     job: str
@@ -167,7 +170,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class JobResults:
-    """Results of items of any jobs of the shard, grouped."""
+    """A group of item results, possibly of several jobs of the shard."""
 
     results: tuple[ItemResult, ...]
     written_at: float = 0.0
@@ -175,7 +178,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class JobStart:
-    """Says that non-idempotent items are about to be dispatched."""
+    """Marks non-idempotent items that are about to be dispatched."""
 
     job: str
     items: tuple[int, ...]
@@ -183,7 +186,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class JobCrash:
-    """Says that items were in flight when an upstream crashed."""
+    """Names items that were in flight when an upstream crashed."""
 
     job: str
     items: tuple[int, ...]
@@ -191,7 +194,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class JobCancel:
-    """Stops a job; no later result counts."""
+    """Cancels a job; results that follow in the log are ignored."""
 
     job: str
     at: float = 0.0
@@ -199,19 +202,19 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class JobForget:
-    """Ends the keeping time of a job."""
+    """Deletes a job whose retention has ended."""
 
     job: str
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class JobCarry:
-    """Carries a record forward, before the log forgets it.
+    """Copies a record to the end of the log before the log discards it.
 
     Attributes:
-      of: Offset at which the fold now knows it.
-      kind: ``CHUNK`` or ``RESULTS``.
-      body: Its body, unchanged.
+      of: Offset of the copied record, which may be a copy itself.
+      kind: Kind of the copied record, ``CHUNK`` or ``RESULTS``.
+      body: Body of the copied record, unchanged.
     """
 
     of: int
