--- a/camphortray/jobshard.py
+++ b/camphortray/jobshard.py
@@ -1,4 +1,4 @@
-"""One shard of jobs as a host sees it."""
+"""Access of one host to a shard of jobs: appends, reads and a read cache."""
 
 __all__ = ["JobShard", "RecordCache"]
 
@@ -16,37 +16,38 @@
 from camphortray import ownership
 from camphortray import records
 
-APPEND_S = 10.0
-# Bytes of records kept for readers, over all shards of a host.
+# Time-out of the append of one record.
+APPEND_TIMEOUT_S = 10.0
+# Size limit of the record cache that all shards of a host share.
 CACHE_BYTES = 16_777_216
 
 
 class RecordCache:
-    """Records read lately, bounded by their bytes.
+    """LRU cache of records, bounded by their total size.
 
-    The log gives a page of records at a time; readers of neighbouring
-    results would otherwise ask for the same page again and again.
+    The log returns a page of records per read; without the cache, readers of
+    adjacent results would fetch the same page repeatedly.
     """
 
-    def __init__(self, limit: int = CACHE_BYTES) -> None:
-        self.limit = limit
-        self.size = 0
+    def __init__(self, limit_bytes: int = CACHE_BYTES) -> None:
+        self.limit_bytes = limit_bytes
+        self.size_bytes = 0
         self.held: collections.OrderedDict[tuple[str, int], bytes] = (
             collections.OrderedDict()
         )
 
     def put(self, stream: str, offset: int, body: bytes) -> None:
-        """Keep a record; the one used longest ago goes."""
+        """Add a record and evict the least recently used ones if needed."""
         key = (stream, offset)
         if key not in self.held:
             self.held[key] = body
-            self.size += len(body)
-        while self.size > self.limit and len(self.held) > 1:
-            _, gone = self.held.popitem(last=False)
-            self.size -= len(gone)
+            self.size_bytes += len(body)
+        while self.size_bytes > self.limit_bytes and len(self.held) > 1:
+            _, evicted = self.held.popitem(last=False)
+            self.size_bytes -= len(evicted)
 
     def get(self, stream: str, offset: int) -> bytes | None:
-        """Return a record if it is kept."""
+        """Return a record, or None if it is not cached."""
         body = self.held.get((stream, offset))
         if body is not None:
             self.held.move_to_end((stream, offset))
@@ -54,11 +55,11 @@
 
 
 class JobShard:
-    """One shard: its journal, whether this host owns it, its records.
+    """One shard of jobs: its journal, its ownership and its records.
 
     Attributes:
-      number: Of the shard.
-      uploads: Takings begun by this process.
+      number: Number of the shard.
+      uploads: Number of uploads started by this process.
     """
 
     def __init__(
@@ -82,9 +83,9 @@
         return fold
 
     async def append(
-        self, kind: str, body: Any, timeout_s: float = APPEND_S
+        self, kind: str, body: Any, timeout_s: float = APPEND_TIMEOUT_S
     ) -> folds.Outcome:
-        """Append a record in the epoch in force; see ``Journal.append``."""
+        """Append a record in the current epoch; see ``Journal.append``."""
         return await self.journal.append(
             kind,
             msgspec.to_builtins(body, builtin_types=(bytes,)),
@@ -93,44 +94,47 @@
         )
 
     async def read(self, offset: int) -> records.Record:
-        """Return a record of the stream again.
+        """Return a record of the stream from the cache or the log.
 
         Raises:
-          LogError: the log does not answer or holds it no more.
+          LogError: the log does not answer or has discarded the record.
         """
         stream = self.journal.stream
         body = self.cache.get(stream, offset)
         if body is None:
             page = await self.journal.service.read(stream, offset)
-            self.keep(page)
+            self.cache_page(page)
             body = page.records[0].body
         return records.decode(body)
 
-    def keep(self, page: log.Page) -> None:
-        """Keep a page, the record asked for as the newest."""
+    def cache_page(self, page: log.Page) -> None:
+        """Cache a page of records, but no more than half of the cache size.
+
+        The others cannot evict the first record, which was asked for.
+        """
         size = 0
-        for held in page.records:
-            size += len(held.body)
-            if size > self.cache.limit // 2:
+        for record in page.records:
+            size += len(record.body)
+            if size > self.cache.limit_bytes // 2:
                 break
-            self.cache.put(self.journal.stream, held.offset, held.body)
+            self.cache.put(self.journal.stream, record.offset, record.body)
 
     async def epoch_after(self, epoch: int) -> None:
-        """Wait until another epoch is in force."""
+        """Wait until ``epoch`` is no longer the current epoch."""
         changed = asyncio.Event()
 
-        def look(outcome: folds.Outcome) -> None:
+        def check(outcome: folds.Outcome) -> None:
             if self.owner.epoch != epoch:
                 changed.set()
 
-        self.journal.listen(look)
+        self.journal.listen(check)
         try:
             await changed.wait()
         finally:
-            self.journal.listeners.remove(look)
+            self.journal.listeners.remove(check)
 
     async def catch_up(self, timeout_s: float = 2.0) -> None:
-        """Wait until all that the log holds now is applied.
+        """Wait until all records that the log holds at the call are applied.
 
         Raises:
           LogError: the log does not answer.
@@ -139,13 +143,13 @@
         page = await held.service.read(held.stream, held.fold.next)
         reached = asyncio.Event()
 
-        def look(outcome: folds.Outcome) -> None:
+        def check(outcome: folds.Outcome) -> None:
             if held.fold.next >= page.next:
                 reached.set()
 
         if held.fold.next >= page.next:
             return
-        held.listen(look)
+        held.listen(check)
         try:
             async with asyncio.timeout(timeout_s):
                 await reached.wait()
@@ -154,4 +158,4 @@
                 "not caught up", step="read", peer=held.stream
             ) from None
         finally:
-            held.listeners.remove(look)
+            held.listeners.remove(check)
