--- a/camphortray/shardrun.py
+++ b/camphortray/shardrun.py
@@ -1,4 +1,4 @@
-"""What the owner of a shard does in one epoch."""
+"""Runs the jobs of a shard on its owner during one epoch."""
 
 __all__ = ["ShardRun"]
 
@@ -22,17 +22,22 @@
 from camphortray import tree
 
 LOG = logs.logger("jobs")
-# Items held in the queue for a job at which the next chunk is read.
-LOW_ITEMS = 64
-RETRY_S = 0.5
-FORGET_EVERY_S = 1.0
+# The next chunk of a job is read when no more than this number of its items
+# are queued.
+MIN_QUEUED_ITEMS = 64
+# Pause after a failed access to the log, or while the service is unknown.
+RETRY_PAUSE_S = 0.5
+# Interval between two searches for expired jobs and files.
+EXPIRY_INTERVAL_S = 1.0
 
 
 class ShardRun:
     """Runs the jobs of a shard while this host owns it.
 
     Attributes:
-      stopping: Jobs stopped here whose cancel is not yet read back.
+      stopping: Ids of the jobs that were cancelled through this run.
+      running: Ids of the jobs that are being run.
+      tasks: Background tasks, which end with the ownership.
     """
 
     def __init__(
@@ -60,28 +65,32 @@
         self.tasks: set[asyncio.Task[None]] = set()
 
     def start(self) -> None:
-        """Resume every job that is running."""
-        LOG.info("Owns {} in epoch {}.", self.shard.journal.stream, self.epoch)
+        """Start the outbox, the running jobs and the expiry."""
+        LOG.info(
+            "Running jobs of {} in epoch {}.",
+            self.shard.journal.stream,
+            self.epoch,
+        )
         self.outbox.start()
         for job in list(self.shard.fold.jobs.values()):
             self.start_job(job)
-        self.spawn(self.forget())
+        self.spawn(self.delete_expired())
 
     def spawn(self, work: Coroutine[Any, Any, None]) -> None:
-        """Run something for as long as the shard is owned."""
+        """Run a background task that ends with the ownership of the shard."""
         task = asyncio.get_running_loop().create_task(work)
         self.tasks.add(task)
         task.add_done_callback(self.tasks.discard)
 
     def start_job(self, job: jobs.Job) -> None:
-        """Run a job from where it stands."""
+        """Start or resume a job, unless it has ended or is being run."""
         if job.status is jobs.JobStatus.RUNNING:
             if job.accept.job not in self.running:
                 self.running.add(job.accept.job)
                 self.spawn(self.fill(job))
 
     def on_outcome(self, outcome: folds.Outcome) -> None:
-        """Follow what the shard's stream says of its jobs."""
+        """Start accepted jobs, and stop those that have ended."""
         if not outcome.valid or outcome.record is None:
             return
         kind = outcome.record.kind
@@ -96,20 +105,20 @@
                     self.stop_job(name)
 
     def stop_job(self, job: str) -> None:
-        """Stop running a job."""
+        """Stop the dispatch of a job's items."""
         self.running.discard(job)
         self.dispatcher.remove_job(job)
 
     async def fill(self, job: jobs.Job) -> None:
-        """Keep the queue filled with a job's items, a chunk at a time."""
+        """Queue the items of a job, one chunk at a time."""
         name = job.accept.job
         while job.accept.service not in self.tree.view.services:
-            await asyncio.sleep(RETRY_S)
+            await asyncio.sleep(RETRY_PAUSE_S)
         if name not in self.running:
             return
         held = self.dispatcher.add_job(job, self.outbox, self.epoch)
-        # Begun by an earlier owner: they may have run, and whoever sent
-        # them asked that none runs twice.
+        # Non-idempotent items dispatched by an earlier owner. They may have
+        # run already and must not run twice.
         started = frozenset(job.started)
         for number in range(len(job.chunks)):
             if name not in self.running:
@@ -117,7 +126,7 @@
             await self.push_chunk(job, number, started)
             while (
                 name in self.running
-                and self.dispatcher.queue.jobs[name].held > LOW_ITEMS
+                and self.dispatcher.queue.jobs[name].held > MIN_QUEUED_ITEMS
             ):
                 held.space.clear()
                 await held.space.wait()
@@ -130,34 +139,38 @@
         end = job.accept.count
         if number + 1 < len(job.chunks):
             end = job.chunks[number + 1][1]
-        wanted = [
+        pending = [
             item for item in range(first, end) if not job.has_result(item)
         ]
-        if not wanted:
+        if not pending:
             return
         chunk = await self.read_chunk(job, number)
-        for item in wanted:
+        for item in pending:
             line = chunk.items[item - first]
             self.push_item(job, item, line, item in started)
 
     async def read_chunk(self, job: jobs.Job, number: int) -> jobs.JobChunk:
-        """Read a chunk, waiting for as long as the log is away."""
+        """Read a chunk, with retries while the log is unavailable."""
         while True:
             try:
                 record = await self.shard.read(job.chunks[number][0])
             except errors.LogError as error:
-                LOG.warning("Chunk of {}: {}", job.accept.job, error)
-                await asyncio.sleep(RETRY_S)
+                LOG.warning(
+                    "Cannot read a chunk of job {}: {}",
+                    job.accept.job,
+                    error,
+                )
+                await asyncio.sleep(RETRY_PAUSE_S)
                 continue
-            raw = record.body
+            body = record.body
             if record.kind == jobs.CARRY:
-                raw = raw["body"]
-            return records.typed(raw, jobs.JobChunk)
+                body = body["body"]
+            return records.typed(body, jobs.JobChunk)
 
     def push_item(
         self, job: jobs.Job, index: int, line: bytes, started: bool
     ) -> None:
-        """Queue an item, or end it if it can never be done."""
+        """Queue an item, or end it if it must not or cannot be run."""
         name = job.accept.job
         item = jobqueue.Item(
             name, index, line, crashes=job.crashes.get(index, 0)
@@ -166,8 +179,8 @@
         if held is None:
             return
         if started:
-            why = itemdriver.reason("begun by a host that was lost")
-            self.dispatcher.driver.end(held, item, "unknown", why)
+            reason = itemdriver.reason("begun by a host that was lost")
+            self.dispatcher.driver.end(held, item, "unknown", reason)
             return
         service = self.tree.view.services[job.accept.service]
         try:
@@ -175,44 +188,44 @@
             if body.model not in service.models:
                 raise ValueError(f"no model {body.model!r}")
         except ValueError as error:
-            why = itemdriver.reason(str(error))
-            self.dispatcher.driver.end(held, item, "failed", why)
+            reason = itemdriver.reason(str(error))
+            self.dispatcher.driver.end(held, item, "failed", reason)
             return
         item.prefix = job_reader.prefix_of(body)
         self.dispatcher.push(held, item)
 
-    async def forget(self) -> None:
-        """End the keeping time of jobs and files."""
+    async def delete_expired(self) -> None:
+        """Delete jobs and files whose retention has ended, until cancelled."""
         while True:
-            await asyncio.sleep(FORGET_EVERY_S)
+            await asyncio.sleep(EXPIRY_INTERVAL_S)
             now = self.context.clock.wall()
             fold = self.shard.fold
-            old_jobs = [
+            expired_jobs = [
                 name
                 for name, job in fold.jobs.items()
                 if job.ended_at and now > job.ended_at + job.accept.keep_s
             ]
-            old_files = [
+            expired_files = [
                 name
                 for name, held in fold.files.items()
                 if now > held.accept.taken_at + held.accept.keep_s
             ]
             try:
-                for name in old_jobs:
+                for name in expired_jobs:
                     await self.shard.append(jobs.FORGET, jobs.JobForget(name))
-                for name in old_files:
+                for name in expired_files:
                     await self.shard.append(
                         jobs.FILE_FORGET, jobs.FileForget(name)
                     )
             except errors.LogError as error:
-                LOG.warning("Keeping time not ended: {}", error)
+                LOG.warning("Cannot delete expired jobs and files: {}", error)
 
     async def cancel(self, job: str) -> folds.Outcome:
-        """Stop a job at once and see its cancel read back.
+        """Stop a job at once and append its cancel record.
 
         Raises:
-          LogError: it was not read back; dispatch stays stopped, and the
-            cancel is written as soon as the log takes it.
+          LogError: the record was not read back from the log. The job stays
+            stopped, and the append is retried in the background.
         """
         self.stopping.add(job)
         self.stop_job(job)
@@ -220,11 +233,11 @@
         try:
             return await self.shard.append(jobs.CANCEL, body)
         except errors.LogError:
-            self.spawn(self.cancel_later(body))
+            self.spawn(self.retry_cancel(body))
             raise
 
-    async def cancel_later(self, body: jobs.JobCancel) -> None:
-        """Write a cancel however long the log is away."""
+    async def retry_cancel(self, body: jobs.JobCancel) -> None:
+        """Append a cancel record, with retries until the job has ended."""
         while True:
             held = self.shard.fold.jobs.get(body.job)
             if held is None or held.status is not jobs.JobStatus.RUNNING:
@@ -232,10 +245,10 @@
             try:
                 await self.shard.append(jobs.CANCEL, body)
             except errors.LogError:
-                await asyncio.sleep(RETRY_S)
+                await asyncio.sleep(RETRY_PAUSE_S)
 
     async def stop(self) -> None:
-        """Stop at once: the shard is no longer this host's."""
+        """Stop all jobs and tasks: this host no longer runs the shard."""
         for name in list(self.running):
             self.stop_job(name)
         for task in list(self.tasks):
