--- a/camphortray/shardset.py
+++ b/camphortray/shardset.py
@@ -1,4 +1,4 @@
-"""All shards of jobs on a host: owned ones are run, all are readable."""
+"""Follows all shards of jobs on a host and runs the owned ones."""
 
 __all__ = ["ShardSet"]
 
@@ -23,17 +23,20 @@
 from camphortray import shards
 
 LOG = logs.logger("jobs")
-MEGABYTE = 1_000_000
-DRAIN_LOOK_S = 0.05
+BYTES_PER_MEGABYTE = 1_000_000
+# Interval at which a drain checks whether items are still unfinished.
+DRAIN_POLL_S = 0.05
 
 
 @kernel.PARTS.register("batch")
 class ShardSet(kernel.Part):
-    """Follows every shard and runs the jobs of those owned here.
+    """Follows every shard and runs the jobs of those that this host owns.
 
     Attributes:
-      shards: By number.
-      runs: What is being done for the shards owned here, by number.
+      shards: All shards, in the order of their numbers.
+      runs: Runs of the owned shards, by shard number.
+      stops: Tasks that stop the runs of lost shards.
+      settled: Whether every shard has had an owner since the start.
     """
 
     name: ClassVar[str] = "jobs"
@@ -67,7 +70,7 @@
         return cls(context)
 
     def make_shard(self, number: int) -> jobshard.JobShard:
-        """Build a shard and see to its ownership."""
+        """Build a shard and connect its ownership to its run."""
         context = self.context
         writer = records.Writer(
             f"{context.config.host.name}/batch", context.incarnation
@@ -93,7 +96,10 @@
         return shard
 
     def make_compactor(self, shard: jobshard.JobShard) -> compaction.Compactor:
-        """Build what keeps a shard readable as the log forgets."""
+        """Build the compactor of a shard.
+
+        It keeps needed records readable although the log discards old ones.
+        """
         return compaction.Compactor(
             shard.journal,
             self.context.config.streams.retention_s,
@@ -110,33 +116,39 @@
 
     def ready(self) -> str:
         reasons = (shard.journal.ready() for shard in self.shards)
-        unread = next((why for why in reasons if why), "")
-        if unread or self.settled:
-            return unread
-        # At the first start; later a shard may change hands at any time.
+        not_ready = next((reason for reason in reasons if reason), "")
+        if not_ready or self.settled:
+            return not_ready
+        # Checked only until each shard has an owner: later a shard may lack
+        # one for a moment whenever it moves.
         self.settled = all(s.fold.ownership.owner for s in self.shards)
         return "" if self.settled else "shards have no owner yet"
 
     def on_member(self, member: membership.Member) -> None:
-        """Look anew who should own what, e.g. as a host was lost."""
+        """Evaluate the ownership of all shards again."""
         if member.program == self.context.program:
             for shard in self.shards:
                 shard.owner.wake()
 
     def paused(self) -> bool:
-        """Return whether no further item may begin.
+        """Return whether the dispatch of further items is paused.
 
-        While the log is away results are held here; beyond the bound
-        the work would have to be done again, and memory would not do.
+        While the log is unavailable, results are buffered in memory. The
+        pause limits the memory and the work that a crash would repeat.
         """
-        held = sum(run.outbox.held_bytes for run in self.runs.values())
-        return held >= self.context.config.batch.memory_mb * MEGABYTE
+        buffered_bytes = sum(
+            run.outbox.held_bytes for run in self.runs.values()
+        )
+        return (
+            buffered_bytes
+            >= self.context.config.batch.memory_mb * BYTES_PER_MEGABYTE
+        )
 
     def interval_s(self) -> float:
-        """Return the time over which results are grouped.
+        """Return the time over which results are grouped into one append.
 
-        Every host follows every shard, so it knows how many shards have
-        results to write now, whoever owns them.
+        It depends on the number of shards with running jobs on all hosts,
+        which is known here because each host follows every shard.
         """
         streams = self.context.config.streams
         running = jobs.JobStatus.RUNNING
@@ -149,7 +161,7 @@
         )
 
     def gain(self, shard: jobshard.JobShard, epoch: int) -> None:
-        """Resume the jobs of a shard."""
+        """Run the jobs of a shard that this host now owns."""
         run = shardrun.ShardRun(
             self.context, shard, self.dispatcher, epoch, self.interval_s
         )
@@ -157,7 +169,7 @@
         run.start()
 
     def lose(self, number: int) -> None:
-        """Stop dispatch at once; the next owner does the rest."""
+        """Stop the run of a shard that this host no longer owns."""
         run = self.runs.pop(number, None)
         if run is not None:
             task = asyncio.get_running_loop().create_task(run.stop())
@@ -165,13 +177,13 @@
             task.add_done_callback(self.stops.discard)
 
     def restart(self, shard: jobshard.JobShard) -> None:
-        """Run anew: a snapshot has replaced the jobs that were run."""
+        """Restart the run, as a snapshot has replaced the job objects."""
         if shard.number in self.runs:
             self.lose(shard.number)
             self.gain(shard, shard.owner.epoch)
 
     def on_outcome(self, number: int, outcome: folds.Outcome) -> None:
-        """Tell what runs a shard about its records."""
+        """Pass the outcome of a record to the run of its shard."""
         run = self.runs.get(number)
         if run is not None:
             run.on_outcome(outcome)
@@ -186,7 +198,7 @@
         """Return the shard of a job or file.
 
         Raises:
-          Refused: it is no id.
+          Refused: the id is malformed.
         """
         try:
             return self.shards[jobs.shard_of(job, len(self.shards))]
@@ -194,20 +206,22 @@
             raise unknown(job) from None
 
     def in_flight(self) -> list[str]:
-        busy = self.dispatcher.in_flight()
-        return [f"{busy} items"] if busy else []
+        count = self.dispatcher.in_flight()
+        return [f"{count} items"] if count else []
 
     async def drain(self) -> None:
-        """End the items under way, keep their results, give shards up."""
+        """Finish the items in flight and release all shards."""
         self.draining = True
         self.dispatcher.drain()
-        limit_s = self.context.config.batch.drain_s
+        timeout_s = self.context.config.batch.drain_s
         try:
-            async with asyncio.timeout(limit_s):
+            async with asyncio.timeout(timeout_s):
                 while self.dispatcher.unfinished():
-                    await asyncio.sleep(DRAIN_LOOK_S)
+                    await asyncio.sleep(DRAIN_POLL_S)
         except TimeoutError:
-            LOG.warning("Items still run after {} s.", limit_s)
+            LOG.warning(
+                "Drain timed out after {} s with items unfinished.", timeout_s
+            )
         await asyncio.gather(*(s.owner.release() for s in self.shards))
 
     async def stop(self) -> None:
@@ -224,5 +238,5 @@
 
 
 def unknown(job: str) -> errors.Refused:
-    """Return the refusal of an unknown id."""
+    """Return the refusal for a job id that is unknown or malformed."""
     return errors.Refused(404, "unknown_job", f"no job {job!r}", field="job")
