--- a/camphortray/shards.py
+++ b/camphortray/shards.py
@@ -1,4 +1,4 @@
-"""Which shard a key belongs to, and which host should own a shard."""
+"""Maps keys to shards, and ranks hosts by rendezvous hashing."""
 
 __all__ = ["preferred", "rank", "score", "shard_of", "stream_name"]
 
@@ -8,7 +8,7 @@
 
 
 def shard_of(workspace: str, key: str, count: int) -> int:
-    """Return the shard of a workspace's key; alike on all hosts.
+    """Return the shard of a workspace's key, which is the same on all hosts.
 
     >>> shard_of("ws", "k", 1)
     0
@@ -22,19 +22,19 @@
 
 
 def score(key: str, name: str) -> tuple[int, str]:
-    """Return the weight of a name in the rendezvous hash for ``key``."""
+    """Return the sort key of a name in the rendezvous order for ``key``."""
     return xxhash.xxh64_intdigest(f"{key}\0{name}".encode()), name
 
 
 def rank(key: str, names: Iterable[str]) -> list[str]:
-    """Return names by rendezvous hash for ``key``, the first chosen first.
+    """Return names in rendezvous order for ``key``, the preferred one first.
 
-    When a name goes, only the keys it was first for move.
+    If a name is removed, only the keys for which it was first move.
     """
     return sorted(names, key=lambda name: score(key, name), reverse=True)
 
 
 def preferred(key: str, names: Iterable[str]) -> str | None:
-    """Return the first by rendezvous hash, or None if there is none."""
+    """Return the first name in rendezvous order, or None without names."""
     best = max((score(key, name) for name in names), default=None)
     return best[1] if best else None
