--- a/camphortray/append_forwarder.py
+++ b/camphortray/append_forwarder.py
@@ -1,11 +1,11 @@
-"""Hands single small records to one host, which appends them together.
-
-With hundreds of hosts, each of which has a claim now and then, the log's
-budget would allow each only one append in seconds. So the hosts hand
-their records, whole and with their own ids, to the host that comes first
-for the stream, and it appends them as one bundle. A record that was
-handed over and appended directly as well counts once, by its id; so
-nothing has to be known about what became of it on the way.
+"""Forwards small records to one host, which appends them in batches.
+
+With hundreds of hosts that append a claim now and then, the append budget
+of the log would allow each host only one append every few seconds. So hosts
+forward their encoded records, which keep their ids, to the preferred host of
+the stream, and it appends them as one bundle. A record that was forwarded
+and also appended directly counts once, by its id, so that the sender need
+not know the outcome of a failed forward.
 """
 
 __all__ = ["AppendForwarder", "Appended", "LogAppend"]
@@ -25,16 +25,16 @@
 from camphortray import peers
 from camphortray import records
 
-# Time for the other host to append, in seconds.
-HAND_OVER_S = 1.0
-# Bytes by which a record grows inside a bundle.
-ENTRY_BYTES = 8
+# Time that the preferred host has to append a forwarded record.
+FORWARD_TIMEOUT_S = 1.0
+# Overhead of each record in a bundle.
+ENTRY_OVERHEAD_BYTES = 8
 
 
 @messages.message("log-append")
 @dataclasses.dataclass(frozen=True, slots=True)
 class LogAppend:
-    """Asks a peer to append a record with others."""
+    """Asks a peer to append an encoded record."""
 
     stream: str
     data: bytes
@@ -43,21 +43,21 @@
 @messages.message("log-appended")
 @dataclasses.dataclass(frozen=True, slots=True)
 class Appended:
-    """Says that the log took the record."""
+    """Confirms that the log has stored the record."""
 
     offset: int
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Pending:
-    """A record that waits for its append."""
+    """An encoded record that is waiting to be appended."""
 
     data: bytes
     done: "asyncio.Future[int]"
 
 
 class Bundler:
-    """Appends to one stream, together what waits together."""
+    """Appends to one stream and combines waiting records into bundles."""
 
     def __init__(
         self,
@@ -74,50 +74,50 @@
         self.appends = 0
 
     async def append(self, data: bytes) -> int:
-        """Append a record, alone or with others.
+        """Append a record, alone or in a bundle; return the offset.
 
         Raises:
-          LogRefused: the log certainly did not take it.
-          LogUnavailable: it may have been taken.
+          LogRefused: the log did not store the record.
+          LogUnavailable: the log may have stored the record.
         """
         loop = asyncio.get_running_loop()
         pending = Pending(data, loop.create_future())
-        size = len(data) + ENTRY_BYTES
+        size = len(data) + ENTRY_OVERHEAD_BYTES
         self.grouper.add(pending, size, loop.time())
         if self.task is None or self.task.done():
             self.task = loop.create_task(self.flush())
         return await pending.done
 
     async def flush(self) -> None:
-        """Append until nothing waits."""
+        """Append batches of records until none is waiting."""
         loop = asyncio.get_running_loop()
         while (wait_s := self.grouper.wait_s(loop.time())) is not None:
             await asyncio.sleep(wait_s)
-            taken = self.grouper.take(loop.time())
-            # A caller that gave up has voided its record, or will.
-            taken = [one for one in taken if not one.done.done()]
-            if taken:
-                await self.append_all(taken)
-
-    async def append_all(self, taken: list[Pending]) -> None:
-        """Append records as one and tell who waits."""
+            batch = self.grouper.take(loop.time())
+            # A caller that gave up has voided its record or will do so.
+            batch = [pending for pending in batch if not pending.done.done()]
+            if batch:
+                await self.append_all(batch)
+
+    async def append_all(self, batch: list[Pending]) -> None:
+        """Append a batch of records and pass the outcome to the callers."""
         try:
-            offset = await self.service.append(self.stream, self.join(taken))
+            offset = await self.service.append(self.stream, self.encode(batch))
         except errors.LogError as error:
-            for one in taken:
-                if not one.done.done():
-                    one.done.set_exception(error)
+            for pending in batch:
+                if not pending.done.done():
+                    pending.done.set_exception(error)
             return
-        for one in taken:
-            if not one.done.done():
-                one.done.set_result(offset)
+        for pending in batch:
+            if not pending.done.done():
+                pending.done.set_result(offset)
 
-    def join(self, taken: list[Pending]) -> bytes:
-        """Return one record's bytes that hold all."""
+    def encode(self, batch: list[Pending]) -> bytes:
+        """Return the bytes of a single record, or of a bundle of several."""
         self.appends += 1
-        if len(taken) == 1:
-            return taken[0].data
-        bundle = folds.Bundle(tuple(one.data for one in taken))
+        if len(batch) == 1:
+            return batch[0].data
+        bundle = folds.Bundle(tuple(pending.data for pending in batch))
         body = msgspec.to_builtins(bundle, builtin_types=(bytes,))
         record_id = records.RecordId(self.writer, self.appends)
         return records.encode(
@@ -125,17 +125,17 @@
         )
 
     def stop(self) -> None:
-        """Stop; what waits fails as perhaps taken."""
+        """Cancel the task that appends."""
         if self.task is not None:
             self.task.cancel()
 
 
 class AppendForwarder:
-    """Takes records to the log, by way of another host if that is better.
+    """Appends records to the log, through the stream's preferred host.
 
     Attributes:
-      choose: Gives the peer address of the host that groups a stream, or
-        None if it is this one or none is in reach.
+      choose: Returns the peer address of the host that appends the records
+        of a stream, or None if that is this host or no host is reachable.
     """
 
     def __init__(
@@ -155,17 +155,17 @@
         links.on(LogAppend, self.on_append)
 
     def bundler(self, stream: str) -> Bundler:
-        """Return what appends to a stream from here."""
-        held = self.bundlers.get(stream)
-        if held is None:
-            held = Bundler(self.service, stream, self.limits, self.writer)
-            self.bundlers[stream] = held
-        return held
+        """Return this host's bundler of a stream; create it if needed."""
+        bundler = self.bundlers.get(stream)
+        if bundler is None:
+            bundler = Bundler(self.service, stream, self.limits, self.writer)
+            self.bundlers[stream] = bundler
+        return bundler
 
     async def on_append(
         self, sender: peers.Sender, message: LogAppend
     ) -> Appended | peers.PeerFault:
-        """Append a record for a peer."""
+        """Append a record that a peer forwarded."""
         try:
             bundler = self.bundler(message.stream)
             return Appended(await bundler.append(message.data))
@@ -173,35 +173,35 @@
             return peers.PeerFault(str(error))
 
     async def send(self, stream: str, data: bytes) -> int:
-        """Bring a record to the log.
+        """Append a record, through the preferred host if possible.
 
         Raises:
-          LogRefused: the log certainly did not take it.
-          LogUnavailable: it may have been taken.
+          LogRefused: the log did not store the record.
+          LogUnavailable: the log may have stored the record.
         """
         address = self.choose(stream)
         if address is None:
             return await self.bundler(stream).append(data)
         try:
             answer = await self.links.ask(
-                address, LogAppend(stream, data), HAND_OVER_S
+                address, LogAppend(stream, data), FORWARD_TIMEOUT_S
             )
             return int(answer.offset)
         except errors.MessageError:
             return await self.send_directly(stream, data)
 
     async def send_directly(self, stream: str, data: bytes) -> int:
-        """Append a record that a peer may have appended already."""
+        """Append a record that a peer may have appended or may yet append."""
         try:
             return await self.service.append(stream, data)
         except errors.LogRefused as error:
-            # The peer may bring it to the log yet, so "certainly not
-            # taken" would be false; a caller told so could see it run.
+            # The peer may still append the record. With LogRefused the
+            # caller would report that a call will not run which may run.
             raise errors.LogUnavailable(
                 error.message, step="append", peer=stream
             ) from error
 
     def stop(self) -> None:
-        """Stop appending for others."""
+        """Stop all bundlers."""
         for bundler in self.bundlers.values():
             bundler.stop()
