--- a/tests/test_grouprig.py
+++ b/tests/test_grouprig.py
@@ -1,4 +1,4 @@
-"""Each step of a group breaks in each manner: all items are listed."""
+"""Faults at each step of a change of partition owners: no item is lost."""
 
 import asyncio
 
@@ -17,7 +17,7 @@
 STORE = test_itemrig.STORE
 HANG = test_itemrig.HANG
 NO_ENGINE = [*UNEXPECTED, *STORE, HANG]
-# What happens to the group, and the steps that it leads through.
+# Events in the group of hosts, and the steps that each of them causes.
 GROUP_STEPS = {
     "calm": ["join", "join answer"],
     "dealt": ["join", "set_epoch", "newest", "read log", "publish", "tell"],
@@ -31,8 +31,8 @@
 PLAIN_STEPS = {"publish", "tell"}
 
 
-def group_cells():
-    """Return all cells of the group, once and more often than confirmed."""
+def group_cases():
+    """Return all cases, with fewer and with more faults than retries."""
     return [
         pytest.param(
             count,
@@ -51,8 +51,8 @@
     ]
 
 
-async def befall(group, event):
-    """Let something happen to the group."""
+async def trigger(group, event):
+    """Make an event happen to the group."""
     host = group.arm()
     store = group.ledger
     if event == "dealt":
@@ -62,7 +62,7 @@
     elif event == "drained":
         group.draining = asyncio.ensure_future(host.owners.drain())
     elif event.endswith(("away", "away long")):
-        # Times of members pause meanwhile, as the store's pages say.
+        # The store suspends the membership time-outs while it is down.
         store.down = True
         seconds = 6.0 if event == "away long" else 1.5
         await asyncio.sleep(seconds)
@@ -74,42 +74,43 @@
 
 
 @pytest.mark.parametrize(
-    ("count", "event", "step", "manner", "times"), group_cells()
+    ("count", "event", "step", "manner", "times"), group_cases()
 )
-async def test_a_group_that_breaks_leaves_no_item(
+async def test_a_fault_at_any_step_of_a_group_loses_no_item(
     count, event, step, manner, times
 ):
-    # Three jobs are accepted, in two partitions of one or two hosts. Then
-    # partitions change hands, or the store is away, and one step of that
-    # breaks at the host that owns the first one. Whoever owns the
-    # partitions then runs what is open.
+    # Three jobs are accepted in two partitions of one or two hosts. Then
+    # partitions move or the store is down, and one step fails at the owner
+    # of the first partition. The final owners must run all open items.
     broken = breakrig.Break(step, manner, times)
     group = grouprig.Group(broken, count)
     await group.settle()
     if "dealt, away" in event:
-        # All partitions are then owned in the newest generation.
+        # Afterwards all partitions are owned in the latest generation.
         group.ledger.deal_again()
         await group.settle()
     jobs = {"j1": (0, 3), "j2": (0, 2), "j3": (1, 2)}
     if "busy" in event:
-        # More appends than the store knows the answers of.
+        # More appends than the store remembers answers for.
         jobs |= {f"k{n}": (0, 1) for n in range(8)}
     for job, (part, items) in jobs.items():
         await group.owner(part).submit(itemrig.part_of(job, items))
     await asyncio.sleep(0.9)
-    await befall(group, event)
+    await trigger(group, event)
     await group.check(jobs)
     assert broken.met
 
 
 @pytest.mark.parametrize("appends", range(6))
 @pytest.mark.parametrize("moved_s", [1.0, 2.0, 3.0, 4.0, 5.0, 6.0, 8.0])
-async def test_a_partition_retaken_and_dealt_on_lists_all(appends, moved_s):
-    # The store comes back and refuses four tries to confirm an epoch. The
-    # partition is given up and taken again in the same epoch; its first
-    # results are taken for repeats and not kept, the later ones are. Then
-    # it is dealt to another host, which finds a gap. Jobs of one item, a
-    # number of them, come before and make the appends that are repeated.
+async def test_a_partition_regained_and_then_moved_loses_no_result(
+    appends, moved_s
+):
+    # After an outage the store refuses four attempts to confirm an epoch.
+    # The partition is released and regained in the same epoch, so that the
+    # store took its first results for repeated appends and did not keep
+    # them, but kept the later ones. The next owner then found a gap. Jobs of
+    # one item beforehand vary the number of earlier appends.
     broken = breakrig.Break("set_epoch", STORE[0], 4)
     group = grouprig.Group(broken, 2)
     broken.spread = 0.1
@@ -120,7 +121,7 @@
     for job, (part, items) in jobs.items():
         await group.owner(part).submit(itemrig.part_of(job, items))
     await asyncio.sleep(0.9)
-    await befall(group, "away")
+    await trigger(group, "away")
     await asyncio.sleep(moved_s)
     assert broken.met == 4
     group.ledger.deal_again()
@@ -131,11 +132,11 @@
 async def test_a_host_stays_a_member_while_it_confirms_its_partitions(
     hosts, monkeypatch
 ):
-    # The group has dealt twice between two calls of a host, and the store's
-    # answers to its questions whether its epochs hold are lost. It asked for
-    # one partition after the other, up to 1.6 s each, without telling the
-    # store that it lives; that takes a host for gone after 1.2 s, and deals
-    # its partitions to others, whose callers wait for a takeover.
+    # The partitions were reassigned twice between two calls of a host, and
+    # the answers to its epoch confirmations are lost. The host confirmed one
+    # partition after another, for up to 1.6 s each, without renewing its
+    # membership. The store removes a member after 1.2 s and moves its
+    # partitions, so that callers wait for a takeover.
     broken = breakrig.Break("none", STORE[0])
     group = grouprig.Group(broken, hosts)
     await group.settle()
@@ -145,19 +146,19 @@
     joined = []
     join, set_epoch = group.ledger.join, group.ledger.set_epoch
 
-    async def noted(member, generation, keep_s):
+    async def recorded_join(member, generation, keep_s):
         if member == host.owners.member:
             joined.append(loop.time())
         return await join(member, generation, keep_s)
 
-    async def lost(topic, part, epoch):
+    async def lost_answer(topic, part, epoch):
         await asyncio.sleep(0.4)
         if loop.time() < silent_until:
             raise errors.LogUnavailable("lost", step="epoch", peer="store")
         await set_epoch(topic, part, epoch)
 
-    monkeypatch.setattr(group.ledger, "join", noted)
-    monkeypatch.setattr(group.ledger, "set_epoch", lost)
+    monkeypatch.setattr(group.ledger, "join", recorded_join)
+    monkeypatch.setattr(group.ledger, "set_epoch", lost_answer)
     for _ in range(3):
         group.ledger.deal_again(2 * hosts)
         await asyncio.sleep(2.0)
