--- a/camphortray/callshard.py
+++ b/camphortray/callshard.py
@@ -130,7 +130,7 @@
         writer = self.journal.writer
         if claimer.name == writer.name:
             return claimer.incarnation < writer.incarnation
-        return self.owner.sight(claimer) is not takeover.Sight.LIVE
+        return self.owner.liveness(claimer) is not takeover.Liveness.LIVE
 
     async def stop(self) -> None:
         """Stop all."""
--- a/camphortray/ownership.py
+++ b/camphortray/ownership.py
@@ -46,7 +46,7 @@
         """Return the writer names of the live hosts, including this one."""
 
     @abc.abstractmethod
-    def sight(self, owner: records.Writer) -> takeover.Sight:
+    def liveness(self, owner: records.Writer) -> takeover.Liveness:
         """Return the liveness of an owner."""
 
 
@@ -59,8 +59,8 @@
     def live(self) -> list[str]:
         return [self.name]
 
-    def sight(self, owner: records.Writer) -> takeover.Sight:
-        return takeover.Sight.LIVE
+    def liveness(self, owner: records.Writer) -> takeover.Liveness:
+        return takeover.Liveness.LIVE
 
 
 class Members(Roster):
@@ -74,16 +74,16 @@
     def live(self) -> list[str]:
         return [m.name for m in self.members.live(self.context.program)]
 
-    def sight(self, owner: records.Writer) -> takeover.Sight:
+    def liveness(self, owner: records.Writer) -> takeover.Liveness:
         if self.members.is_gone(owner.name, owner.incarnation):
-            return takeover.Sight.GONE
+            return takeover.Liveness.GONE
         member = self.members.members.get(owner.name)
         if member is None:
             age_s = self.context.clock.monotonic() - self.created_at
             live = age_s < STARTUP_GRACE_S
         else:
             live = member.status not in SUSPECTED_STATUSES
-        return takeover.Sight.LIVE if live else takeover.Sight.LOST
+        return takeover.Liveness.LIVE if live else takeover.Liveness.LOST
 
 
 class Owner(tasks.Background):
@@ -188,14 +188,16 @@
         """Return the step that the policy decides on now."""
         held = self.journal.fold.ownership
         owner = held.owner
-        sight = takeover.Sight.LIVE if owner is None else self.sight(owner)
+        liveness = (
+            takeover.Liveness.LIVE if owner is None else self.liveness(owner)
+        )
         rank = first_rank if self.owned and self.busy() else self.rank
-        seen = takeover.Seen(held, sight, rank, self.draining)
+        seen = takeover.Seen(held, liveness, rank, self.draining)
         return self.policy.step(seen, asyncio.get_running_loop().time())
 
-    def sight(self, owner: records.Writer) -> takeover.Sight:
+    def liveness(self, owner: records.Writer) -> takeover.Liveness:
         """Return the liveness of an owner."""
-        return self.roster.sight(owner)
+        return self.roster.liveness(owner)
 
     def rank(self) -> int:
         """Return this host's position in the stream's rendezvous order."""
--- a/camphortray/takeover.py
+++ b/camphortray/takeover.py
@@ -10,7 +10,7 @@
 - hosts act one after another, in the rendezvous order of the stream.
 """
 
-__all__ = ["Policy", "Seen", "Sight", "Step", "Timing"]
+__all__ = ["Liveness", "Policy", "Seen", "Step", "Timing"]
 
 from collections.abc import Callable
 import dataclasses
@@ -21,7 +21,7 @@
 from camphortray import records
 
 
-class Sight(enum.Enum):
+class Liveness(enum.Enum):
     """Liveness of a host as this host sees it."""
 
     LIVE = "live"
@@ -54,7 +54,7 @@
 
     Attributes:
       held: Ownership according to the log.
-      sight: Liveness of the owner, if there is one.
+      liveness: Liveness of the owner, if there is one.
       rank: Returns this host's position in the rendezvous order of the live
         hosts, 0 for the first. Called only if needed, as it computes a hash
         for each host.
@@ -62,7 +62,7 @@
     """
 
     held: folds.Ownership
-    sight: Sight
+    liveness: Liveness
     rank: Callable[[], int]
     draining: bool = False
 
@@ -132,9 +132,12 @@
             # owner is a later one, all that this process appends is void.
             ended = held.owner.incarnation < self.writer.incarnation
             return self.claim(held, gone=True) if ended else NO_STEP
-        if seen.sight is Sight.GONE:
+        if seen.liveness is Liveness.GONE:
             return self.staggered(seen, now, self.claim(held, gone=True))
-        if seen.sight is Sight.LOST or self.suspected_epoch == held.epoch:
+        if (
+            seen.liveness is Liveness.LOST
+            or self.suspected_epoch == held.epoch
+        ):
             return self.replace_owner(seen, now)
         return NO_STEP
 
@@ -167,7 +170,7 @@
 
     def staggered(self, seen: Seen, now: float, step: Step) -> Step:
         """Return ``step`` once the hosts of lower rank had time to act."""
-        condition = (seen.held.epoch, step.kind, seen.sight)
+        condition = (seen.held.epoch, step.kind, seen.liveness)
         wait_s = self.remaining_s(
             condition, now, seen.rank() * self.timing.stagger_s
         )
--- a/spec/takeover.py
+++ b/spec/takeover.py
@@ -71,10 +71,10 @@
         held = model.folded(self.fold, state.log[: state.read[at]]).ownership
         me = records.Writer(HOSTS[at], 1)
         found: dict[str, Any] = {}
-        for sight in (takeover.Sight.LOST, takeover.Sight.GONE):
+        for liveness in (takeover.Liveness.LOST, takeover.Liveness.GONE):
             for draining in (False, True):
                 policy = takeover.Policy(me, TIMING)
-                seen = takeover.Seen(held, sight, lambda: 0, draining)
+                seen = takeover.Seen(held, liveness, lambda: 0, draining)
                 step = policy.step(seen, 0.0)
                 if step.kind:
                     found[f"{step.kind} {step.body}"] = step
--- a/tests/test_takeover.py
+++ b/tests/test_takeover.py
@@ -16,7 +16,7 @@
 
 ME = records.Writer("me/batch", 5)
 OTHER = records.Writer("other/batch", 5)
-LIVE, LOST, GONE = takeover.Sight
+LIVE, LOST, GONE = takeover.Liveness
 TIMING = takeover.Timing(0.6, 0.4, 10.0, 30.0)
 
 
@@ -110,7 +110,7 @@
             def live(self):
                 return sorted(cluster.up)
 
-            def sight(self, owner):
+            def liveness(self, owner):
                 return cluster.sights.get((name, owner.name), LIVE)
 
         held = journal.Journal(
