--- a/camphortray/ownership.py
+++ b/camphortray/ownership.py
@@ -175,7 +175,7 @@
         while True:
             self.changed.clear()
             step = self.next_step()
-            wait_s = max(step.again_s, MIN_WAIT_S)
+            wait_s = max(step.wait_s, MIN_WAIT_S)
             if step.kind and not await self.append_step(step):
                 wait_s = RETRY_PAUSE_S
             elif step.kind:
@@ -192,8 +192,8 @@
             takeover.Liveness.LIVE if owner is None else self.liveness(owner)
         )
         rank = first_rank if self.owned and self.busy() else self.rank
-        seen = takeover.Seen(held, liveness, rank, self.draining)
-        return self.policy.step(seen, asyncio.get_running_loop().time())
+        view = takeover.StreamView(held, liveness, rank, self.draining)
+        return self.policy.step(view, asyncio.get_running_loop().time())
 
     def liveness(self, owner: records.Writer) -> takeover.Liveness:
         """Return the liveness of an owner."""
--- a/camphortray/takeover.py
+++ b/camphortray/takeover.py
@@ -10,7 +10,7 @@
 - hosts act one after another, in the rendezvous order of the stream.
 """
 
-__all__ = ["Liveness", "Policy", "Seen", "Step", "Timing"]
+__all__ = ["Liveness", "Policy", "Step", "StreamView", "Timing"]
 
 from collections.abc import Callable
 import dataclasses
@@ -34,7 +34,7 @@
     """Waiting times of the policy.
 
     Attributes:
-      patience_s: Time that an owner has to answer a challenge.
+      challenge_timeout_s: Time that an owner has to answer a challenge.
       stagger_s: Additional delay for each host that precedes this one in
         rendezvous order.
       challenge_interval_s: Time from an answered challenge to the next.
@@ -42,14 +42,14 @@
         owner before the owner releases the stream.
     """
 
-    patience_s: float = 0.6
+    challenge_timeout_s: float = 0.6
     stagger_s: float = 0.4
     challenge_interval_s: float = 10.0
     rebalance_s: float = 30.0
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Seen:
+class StreamView:
     """Input of one decision.
 
     Attributes:
@@ -74,12 +74,12 @@
     Attributes:
       kind: Kind of the record to append, or empty.
       body: Body of the record.
-      again_s: Time until the next decision if nothing changes.
+      wait_s: Time until the next decision if nothing changes.
     """
 
     kind: str = ""
     body: dict[str, Any] = dataclasses.field(default_factory=dict)
-    again_s: float = 60.0
+    wait_s: float = 60.0
 
 
 NO_STEP = Step()
@@ -112,69 +112,74 @@
         """Challenge the owner of an epoch although it appears live."""
         self.suspected_epoch = epoch
 
-    def step(self, seen: Seen, now: float) -> Step:
+    def step(self, view: StreamView, now: float) -> Step:
         """Return the next step.
 
         Args:
-          seen: Current state of the stream and its owner.
+          view: Current state of the stream and its owner.
           now: Time on the monotonic clock.
         """
-        held = seen.held
+        held = view.held
         self.note_challenge(held, now)
         if held.owner == self.writer:
-            return self.owner_step(seen, now)
-        if seen.draining:
+            return self.owner_step(view, now)
+        if view.draining:
             return NO_STEP
         if held.owner is None:
-            return self.staggered(seen, now, self.claim(held, gone=True))
+            return self.staggered(view, now, self.claim(held, gone=True))
         if held.owner.name == self.writer.name:
             # An earlier incarnation of this host has certainly ended. If the
             # owner is a later one, all that this process appends is void.
             ended = held.owner.incarnation < self.writer.incarnation
             return self.claim(held, gone=True) if ended else NO_STEP
-        if seen.liveness is Liveness.GONE:
-            return self.staggered(seen, now, self.claim(held, gone=True))
+        if view.liveness is Liveness.GONE:
+            return self.staggered(view, now, self.claim(held, gone=True))
         if (
-            seen.liveness is Liveness.LOST
+            view.liveness is Liveness.LOST
             or self.suspected_epoch == held.epoch
         ):
-            return self.replace_owner(seen, now)
+            return self.replace_owner(view, now)
         return NO_STEP
 
-    def owner_step(self, seen: Seen, now: float) -> Step:
+    def owner_step(self, view: StreamView, now: float) -> Step:
         """Return the next step of the owner."""
-        if seen.held.challenge != records.NO_EPOCH:
+        if view.held.challenge != records.NO_EPOCH:
             return Step(folds.ALIVE)
-        if seen.draining:
+        if view.draining:
             return Step(folds.RELEASE)
-        if seen.rank() == 0:
+        if view.rank() == 0:
             self.condition = (None, now)
             return NO_STEP
         wait_s = self.remaining_s("rebalance", now, self.timing.rebalance_s)
-        return Step(again_s=wait_s) if wait_s > 0 else Step(folds.RELEASE)
+        return Step(wait_s=wait_s) if wait_s > 0 else Step(folds.RELEASE)
 
-    def replace_owner(self, seen: Seen, now: float) -> Step:
+    def replace_owner(self, view: StreamView, now: float) -> Step:
         """Return the next step towards replacing an owner thought lost."""
-        held = seen.held
+        held = view.held
         if held.challenge != records.NO_EPOCH:
-            delay_s = seen.rank() * self.timing.stagger_s
-            wait_s = self.challenge[1] + self.timing.patience_s + delay_s - now
-            return Step(again_s=wait_s) if wait_s > 0 else self.claim(held)
+            delay_s = view.rank() * self.timing.stagger_s
+            wait_s = (
+                self.challenge[1]
+                + self.timing.challenge_timeout_s
+                + delay_s
+                - now
+            )
+            return Step(wait_s=wait_s) if wait_s > 0 else self.claim(held)
         wait_s = self.answered_at + self.timing.challenge_interval_s - now
         if wait_s > 0:
-            return Step(again_s=wait_s)
+            return Step(wait_s=wait_s)
         challenge = folds.Challenge(held.epoch)
         return self.staggered(
-            seen, now, Step(folds.CHALLENGE, dataclasses.asdict(challenge))
+            view, now, Step(folds.CHALLENGE, dataclasses.asdict(challenge))
         )
 
-    def staggered(self, seen: Seen, now: float, step: Step) -> Step:
+    def staggered(self, view: StreamView, now: float, step: Step) -> Step:
         """Return ``step`` once the hosts of lower rank had time to act."""
-        condition = (seen.held.epoch, step.kind, seen.liveness)
+        condition = (view.held.epoch, step.kind, view.liveness)
         wait_s = self.remaining_s(
-            condition, now, seen.rank() * self.timing.stagger_s
+            condition, now, view.rank() * self.timing.stagger_s
         )
-        return Step(again_s=wait_s) if wait_s > 0 else step
+        return Step(wait_s=wait_s) if wait_s > 0 else step
 
     def remaining_s(
         self, condition: Any, now: float, required_s: float
--- a/spec/takeover.py
+++ b/spec/takeover.py
@@ -74,7 +74,7 @@
         for liveness in (takeover.Liveness.LOST, takeover.Liveness.GONE):
             for draining in (False, True):
                 policy = takeover.Policy(me, TIMING)
-                seen = takeover.Seen(held, liveness, lambda: 0, draining)
+                seen = takeover.StreamView(held, liveness, lambda: 0, draining)
                 step = policy.step(seen, 0.0)
                 if step.kind:
                     found[f"{step.kind} {step.body}"] = step
--- a/tests/test_jobapi.py
+++ b/tests/test_jobapi.py
@@ -398,7 +398,7 @@
     # one would come too late. The loop stands still, as it does beside
     # load; no grant lapses and nobody is held for silent by that.
     monkeypatch.setattr(web, "SPREAD_S", 0.1)
-    timing = dataclasses.replace(takeover.Timing(), patience_s=LONG_S)
+    timing = dataclasses.replace(takeover.Timing(), challenge_timeout_s=LONG_S)
     monkeypatch.setattr(takeover, "Timing", lambda: timing)
     few = {f"upstream.engine-{number}.slots": 12 for number in range(2)}
     values = {"limit.silence_s": LONG_S, **few}
--- a/tests/test_takeover.py
+++ b/tests/test_takeover.py
@@ -53,12 +53,12 @@
 def test_steps(held, sight, rank, draining, kinds):
     policy = takeover.Policy(ME, TIMING)
     epoch, owner, challenge = held
-    seen = takeover.Seen(
+    seen = takeover.StreamView(
         folds.Ownership(epoch, owner, challenge), sight, lambda: rank, draining
     )
     steps = [policy.step(seen, now) for now in (0.0, 0.3, 0.7, 31.0)]
     assert [step.kind for step in steps] == kinds
-    assert all(step.again_s > 0 for step in steps)
+    assert all(step.wait_s > 0 for step in steps)
 
 
 def test_an_owner_that_answers_is_not_challenged_again_soon():
@@ -69,7 +69,9 @@
 
     def step(challenge, now):
         held = folds.Ownership(3, OTHER, challenge)
-        return policy.step(takeover.Seen(held, LOST, lambda: 0), now).kind
+        return policy.step(
+            takeover.StreamView(held, LOST, lambda: 0), now
+        ).kind
 
     assert step(-1, 0.0) == "challenge"
     assert step(4, 0.1) == ""
@@ -82,7 +84,9 @@
 
     def step(challenge, now):
         held = folds.Ownership(3, OTHER, challenge)
-        return policy.step(takeover.Seen(held, LIVE, lambda: 0), now).kind
+        return policy.step(
+            takeover.StreamView(held, LIVE, lambda: 0), now
+        ).kind
 
     assert step(-1, 0.0) == ""
     policy.doubt(3)
