--- a/camphortray/admission.py
+++ b/camphortray/admission.py
@@ -174,7 +174,7 @@
         return errors.Refused(
             429,
             "busy",
-            "queue of the service is full",
+            "too many requests wait",
             retry_after=self.retry_after_s(wait_s),
         )
 
@@ -183,7 +183,7 @@
         return errors.Refused(
             503,
             "too_late",
-            "request cannot be completed before its deadline",
+            "cannot be done before its deadline",
             retry_after=self.retry_after_s(wait_s),
         )
 
--- a/camphortray/item_gauges.py
+++ b/camphortray/item_gauges.py
@@ -65,13 +65,13 @@
         for stage in item_stall_detector.Stage:
             metrics.set(
                 "camphortray_items_open",
-                "Accepted items without a stored result, by stage.",
+                "Accepted items that are not listed, by what they wait for.",
                 {"stage": stage.value},
                 summary.counts[stage],
             )
         metrics.set(
             "camphortray_partitions_late",
-            "Partitions assigned to this host whose takeover is late.",
+            "Partitions dealt to this host and not taken over in time.",
             {},
             late,
         )
--- a/camphortray/item_reconciler.py
+++ b/camphortray/item_reconciler.py
@@ -212,8 +212,7 @@
         """Count an item that is run again for a reason other than its own."""
         self.parts.metrics.inc(
             "camphortray_items_taken_up",
-            "Items run again after an unexpected error, a stall or a lost"
-            " task, by cause.",
+            "Items run again that would have been left lying, by cause.",
             {"why": cause},
         )
 
--- a/camphortray/ratelimits.py
+++ b/camphortray/ratelimits.py
@@ -98,8 +98,7 @@
             raise errors.Refused(
                 429,
                 "rate_limited",
-                f"workspace exceeds its limit of {limit:g} requests"
-                " per second",
+                f"workspace is over {limit:g} requests per second",
                 retry_after=max(1.0, wait_s) * jitter,
             )
 
--- a/camphortray/slot_client.py
+++ b/camphortray/slot_client.py
@@ -260,10 +260,7 @@
                 id=f"{request.id}-{attempt}",
                 avoid=request.avoid | {granted.engine},
             )
-        raise errors.NoSlot(
-            f"no usable slot in {MAX_UNUSABLE_GRANTS} grants",
-            RETRY_S,
-        )
+        raise errors.NoSlot("engines given are not known here", RETRY_S)
 
     async def request_grant(
         self, service: str, request: slot_scheduler.SlotRequest
@@ -285,7 +282,7 @@
         except TimeoutError:
             self.send_ends(pending.coordinators, service, request.id)
             raise errors.NoSlot(
-                "no answer to the slot request in time", request.left_s / 4
+                "no word on a slot", request.left_s / 4
             ) from None
         except asyncio.CancelledError:
             self.send_ends(pending.coordinators, service, request.id)
@@ -391,7 +388,7 @@
             pending = self.pending.get(request_id)
             if pending is not None and not pending.answer.done():
                 pending.answer.set_exception(
-                    errors.NoSlot("no slot is free in time", seconds)
+                    errors.NoSlot("no room in time", seconds)
                 )
         for request_id in update.revoked:
             self.on_revocation(update.service, request_id, coordinator)
