--- a/camphortray/slot_client.py
+++ b/camphortray/slot_client.py
@@ -45,8 +45,8 @@
 # for itself. A round trip takes milliseconds, while the latency objective of
 # an online request is hundreds of milliseconds.
 ASK_TIMEOUT_S = 0.12
-# Timeout in seconds for the successor's check of a coordinator. Longer,
-# because its failure makes all hosts exclude that coordinator.
+# Timeout in seconds for the successor's check of a coordinator. A failed check
+# makes all hosts exclude that coordinator.
 CHECK_TIMEOUT_S = 0.25
 # Kind of the fact that makes all hosts exclude a coordinator.
 SILENT_COORDINATOR_FACT = "coordinator-silent"
