--- a/camphortray/admission.py
+++ b/camphortray/admission.py
@@ -62,7 +62,7 @@
     """Bounds the concurrent requests of each service on this host.
 
     A request is refused as soon as it is known that it cannot be served in
-    time; the refusal tells the caller when to retry.
+    time; the refusal states when to retry.
 
     Attributes:
       gates: By name of service.
@@ -205,7 +205,7 @@
         self.admit_waiting(gate)
 
     def admit_waiting(self, gate: Gate) -> None:
-        """Admit waiting requests in turn while the window has room."""
+        """Admit waiting requests in queue order while the window has room."""
         now = self.clock.monotonic()
         while gate.window.has_room(gate.active):
             waiting = gate.queue.pop()
--- a/camphortray/coordinator.py
+++ b/camphortray/coordinator.py
@@ -115,7 +115,7 @@
     ) -> None:
         """Record how many slots a host could use and how many it uses."""
         if host not in self.holders:
-            # Only a host's first request tells what the previous coordinator
+            # Only a host's first request shows what the previous coordinator
             # granted; later ones reflect this coordinator's grants.
             known = held if now < self.previous_grants_until else 0
             self.holders[host] = Holder(granted=known)
--- a/camphortray/coordinator_election.py
+++ b/camphortray/coordinator_election.py
@@ -13,13 +13,13 @@
 from camphortray import members
 from camphortray import shards
 
-# Time for which one host excludes a coordinator that did not answer.
-EXCLUDED_S = 2.0
-# Time for which all hosts exclude a coordinator whose successor got no answer
-# either. It is longer than membership takes to suspect a lost host.
-CONFIRMED_S = 6.0
-# The same for a coordinator that is only listed and was never heard from.
-UNKNOWN_S = 60.0
+# Seconds for which one host excludes a coordinator that did not answer.
+EXCLUSION_S = 2.0
+# Seconds for which all hosts exclude a coordinator whose successor got no
+# answer either. It is longer than membership takes to suspect a lost host.
+CONFIRMED_EXCLUSION_S = 6.0
+# The same for a coordinator in the host list that has never sent a message.
+UNSEEN_EXCLUSION_S = 60.0
 # Factor on a host's even share of the slots while it grants for itself: load
 # is uneven between hosts, and not all hosts lose their coordinator.
 FALLBACK_SHARE_FACTOR = 1.5
@@ -32,7 +32,7 @@
       own_name: Name of this host's member.
       live: Returns the live hosts.
       possible: Returns the names of all hosts that may be alive, including
-        those not heard from yet.
+        those without a message so far.
       elected: Coordinator by service.
       excluded: When the exclusion of a member ends, by name.
       on_change: Called with each service whose coordinator has changed.
@@ -74,7 +74,7 @@
     def first_choice(self, service: str) -> str | None:
         """Return the first choice of coordinator among all possible hosts.
 
-        Hosts that have not been heard from yet are included: otherwise, after
+        Hosts that have sent no message yet are included: otherwise, after
         a loss of all hosts, each of them would grant all slots.
         """
         return shards.preferred(f"slots/{service}", self.possible())
@@ -108,7 +108,7 @@
         return min(1.0, base_share * (holders + 1))
 
     def exclude(
-        self, name: str, now: float, seconds: float = EXCLUDED_S
+        self, name: str, now: float, seconds: float = EXCLUSION_S
     ) -> None:
         """Exclude an unresponsive member for a while."""
         until = max(self.excluded.get(name, 0.0), now + seconds)
--- a/camphortray/engine.py
+++ b/camphortray/engine.py
@@ -254,7 +254,7 @@
           fresh: Whether to require a new connection.
 
         Raises:
-          UpstreamRefused: the engine refused; ``ran`` tells whether the
+          UpstreamRefused: the engine refused; ``ran`` states whether the
             request may have run.
           UpstreamBroken: the connection failed; ``ran`` as above.
           UpstreamTimeout: no response in time.
--- a/camphortray/engine_registry.py
+++ b/camphortray/engine_registry.py
@@ -138,7 +138,7 @@
         return True
 
     def handle_invalid(self, engine_id: str) -> bool:
-        """Handle an entry that became invalid; return if it was known.
+        """Handle an entry that became invalid; return whether it was known.
 
         Another writer has overwritten it. The engine's own next heartbeat
         restores the engine.
@@ -158,7 +158,7 @@
             del self.removed[next(iter(self.removed))]
 
     def replace_all(self, entries: Iterable[EngineEntry], now: float) -> bool:
-        """Replace the entries by a full listing; return if any changed."""
+        """Replace all entries by a listing; return whether any changed."""
         found = {entry.id: entry for entry in entries}
         changes = [self.put(entry) for entry in found.values()]
         absent = self.entries.keys() - found.keys()
@@ -172,7 +172,7 @@
         self.returned_at = now
 
     def drop_overdue(self, now: float) -> bool:
-        """Remove engines still missing at their limit; return if any were."""
+        """Remove engines missing past their limit; return whether any were."""
         overdue = [name for name, at in self.missing.items() if now >= at]
         for name in overdue:
             self.drop(name)
--- a/camphortray/enginehealth.py
+++ b/camphortray/enginehealth.py
@@ -66,21 +66,23 @@
         for name in self.held.keys() - set(names):
             del self.held[name]
 
-    def room(self, engine: str, slots: int, now: float, whole: bool) -> int:
+    def room(
+        self, engine: str, slots: int, now: float, ignore_trial: bool
+    ) -> int:
         """Return how many of an engine's slots may be in use.
 
         Args:
           engine: Name of the engine.
           slots: Slots of the engine.
           now: Current time.
-          whole: Whether to ignore the limit on engines on trial.
+          ignore_trial: Whether to count all slots of an engine on trial.
         """
         health = self.held.get(engine)
         if health is None:
             return slots
         if now < health.closed_until:
             return 0
-        return 1 if health.trial and not whole else slots
+        return 1 if health.trial and not ignore_trial else slots
 
     def retry_times(self, now: float) -> list[float]:
         """Return the times at which ejected engines are tried again."""
--- a/camphortray/isolation.py
+++ b/camphortray/isolation.py
@@ -71,8 +71,8 @@
         """Reserve an upstream for a suspect.
 
         No other suspect of the fleet and no other item of this host runs
-        there meanwhile. If it crashed with two of them in flight, they could
-        not be told apart, and an innocent item could be taken for poison.
+        there meanwhile. If it crashed with two of them in flight, they would
+        be indistinguishable, and an innocent item could be taken for poison.
 
         Yields:
           Whether the permit was granted.
--- a/camphortray/item_retry.py
+++ b/camphortray/item_retry.py
@@ -11,7 +11,7 @@
 PERMANENT_STATUSES = frozenset({422})
 # Statuses that mean that the engine failed at the item.
 ENGINE_FAILURE_STATUSES = frozenset({500})
-# Crashes in a row after which the item is taken for their cause, and the
+# Crashes in a row after which the item counts as their cause, and the
 # delay before it is run again, in seconds: it is retried, but rarely.
 MAX_CRASHES = 3
 CRASH_DELAY_S = 15.0
--- a/camphortray/itempolicy.py
+++ b/camphortray/itempolicy.py
@@ -8,7 +8,7 @@
 from camphortray import errors
 from camphortray import jobqueue
 
-# Crashes after which an item is taken for their cause: the first among other
+# Crashes after which an item counts as their cause: the first among other
 # items, the second alone on the upstream.
 MAX_CRASHES = 2
 # First and longest pause before a retry, in seconds.
--- a/camphortray/orphaned_leases.py
+++ b/camphortray/orphaned_leases.py
@@ -28,7 +28,7 @@
     """Orphaned leases of one engine.
 
     Attributes:
-      count: How many there are.
+      count: Number of orphaned leases.
       expires_at: When they are dropped.
     """
 
@@ -64,7 +64,7 @@
         held.expires_at = now + MAX_ORPHAN_S
 
     def adopt(self, engine: str) -> bool:
-        """Remove one whose holder reports it; return if there was any."""
+        """Remove one whose holder reports it; return whether there was any."""
         held = self.by_engine.get(engine)
         if held is None:
             return False
@@ -74,7 +74,7 @@
         return True
 
     def ended(self, want_id: str) -> str | None:
-        """Remove a lease whose end has come late; return its engine."""
+        """Remove a lease whose end arrives late; return its engine."""
         engine = self.engines.pop(want_id, None)
         return engine if engine is not None and self.adopt(engine) else None
 
--- a/camphortray/priority_queue.py
+++ b/camphortray/priority_queue.py
@@ -9,8 +9,8 @@
 from typing import TypeVar
 
 # Stale entries of removed or replaced values stay in the heap until its size
-# exceeds the number of values times SLACK_TIMES, plus SLACK_ENTRIES.
-SLACK_TIMES = 2
+# exceeds the number of values times SLACK_FACTOR, plus SLACK_ENTRIES.
+SLACK_FACTOR = 2
 SLACK_ENTRIES = 64
 
 T = TypeVar("T")
@@ -41,7 +41,7 @@
         """Add a value, replacing that of the same name."""
         self.entries[name] = key, value
         heapq.heappush(self.heap, (key, name))
-        if len(self.heap) > SLACK_TIMES * len(self.entries) + SLACK_ENTRIES:
+        if len(self.heap) > SLACK_FACTOR * len(self.entries) + SLACK_ENTRIES:
             self.heap = [
                 (key, name) for name, (key, _) in self.entries.items()
             ]
--- a/camphortray/ratelimits.py
+++ b/camphortray/ratelimits.py
@@ -45,7 +45,7 @@
 
 @kernel.PARTS.register("entry")
 class RateLimits(kernel.Part):
-    """Enforces limits, and allocates those that this host is chosen for.
+    """Enforces limits, and allocates those assigned to this host.
 
     Attributes:
       local: The limits that this host enforces.
--- a/camphortray/revocations.py
+++ b/camphortray/revocations.py
@@ -11,16 +11,21 @@
 already revoked count as orphaned until their engine reports otherwise.
 """
 
-__all__ = ["CONFIRM_S", "Revocation", "Revocations", "SLOW_S"]
+__all__ = [
+    "CONFIRM_TIMEOUT_S",
+    "Revocation",
+    "Revocations",
+    "SLOW_CONFIRM_S",
+]
 
 import dataclasses
 
 # Time for a holder to confirm that it has stopped an item. The round trip
 # takes some milliseconds.
-CONFIRM_S = 0.05
+CONFIRM_TIMEOUT_S = 0.05
 # Time without confirmation after which other holders are preferred: a burst
-# can revoke six leases of a dead holder within CONFIRM_S.
-SLOW_S = 0.012
+# can revoke six leases of a dead holder within CONFIRM_TIMEOUT_S.
+SLOW_CONFIRM_S = 0.012
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
@@ -61,7 +66,7 @@
             self.holder_responded(revocation.holder)
 
     def holder_responded(self, holder: str) -> None:
-        """Note that a message of a holder has arrived."""
+        """Mark a holder as responsive, as a message of it has arrived."""
         self.unresponsive.discard(holder)
 
     def lapsed(self, now: float) -> dict[str, Revocation]:
@@ -69,7 +74,7 @@
         late = {
             want_id: revocation
             for want_id, revocation in self.pending.items()
-            if now >= revocation.revoked_at + CONFIRM_S
+            if now >= revocation.revoked_at + CONFIRM_TIMEOUT_S
         }
         for want_id, revocation in late.items():
             del self.pending[want_id]
@@ -81,18 +86,18 @@
         earliest_at = min(
             (r.revoked_at for r in self.pending.values()), default=None
         )
-        return None if earliest_at is None else earliest_at + CONFIRM_S
+        return None if earliest_at is None else earliest_at + CONFIRM_TIMEOUT_S
 
     def excluded_holders(self, now: float) -> list[set[str]]:
-        """Return the sets of holders to spare, in the order to try them.
+        """Return the sets of holders to exclude, in the order to try them.
 
-        The first also holds those slow to confirm, the last only unresponsive
-        ones.
+        The first set includes holders that are slow to confirm, the last one
+        only unresponsive holders.
         """
         late = {
             revocation.holder
             for revocation in self.pending.values()
-            if now > revocation.revoked_at + SLOW_S
+            if now > revocation.revoked_at + SLOW_CONFIRM_S
         }
         if late <= self.unresponsive:
             return [self.unresponsive]
--- a/camphortray/slot_accounting.py
+++ b/camphortray/slot_accounting.py
@@ -81,7 +81,7 @@
             self.table.count(lease.engine, -1)
 
     def end_orphan(self, want_id: str) -> bool:
-        """Free the slot of an orphaned lease whose end has come late."""
+        """Free the slot of an orphaned lease whose end arrives late."""
         engine = self.orphaned.ended(want_id)
         if engine is not None:
             self.table.count(engine, -1)
--- a/camphortray/slot_client.py
+++ b/camphortray/slot_client.py
@@ -154,7 +154,7 @@
         """Check a coordinator that another host failed over from.
 
         That host alone may be cut off from the coordinator. If this host, its
-        successor, cannot reach it either, all hosts are told to exclude it.
+        successor, cannot reach it either, all hosts are made to exclude it.
         """
         try:
             address = self.members.peer_address(name)
@@ -168,7 +168,7 @@
 
     def publish_silent(self, name: str) -> None:
         """Publish a fact that makes all hosts exclude a coordinator."""
-        keep_s = coordinator_election.CONFIRMED_S
+        keep_s = coordinator_election.CONFIRMED_EXCLUSION_S
         self.published[name] = self.clock.monotonic() + keep_s
         member = self.members.member(name)
         started = member.started if member is not None else 0
@@ -184,11 +184,11 @@
             # The coordinator has restarted since.
             return
         now = self.clock.monotonic()
-        seconds = coordinator_election.CONFIRMED_S
+        seconds = coordinator_election.CONFIRMED_EXCLUSION_S
         if member is None:
             # Known only from the platform's host list, which may still list
             # hosts that no longer exist.
-            seconds = coordinator_election.UNKNOWN_S
+            seconds = coordinator_election.UNSEEN_EXCLUSION_S
         self.coordinators.exclude(fact.key, now, seconds)
 
     async def running_requests(
@@ -206,7 +206,7 @@
         LOG.warning(
             "Coordinator {} did not respond; excluded for {:.0f} s.",
             name,
-            coordinator_election.EXCLUDED_S,
+            coordinator_election.EXCLUSION_S,
         )
         self.coordinators.exclude(name, self.clock.monotonic())
 
--- a/camphortray/slot_messages.py
+++ b/camphortray/slot_messages.py
@@ -113,7 +113,7 @@
 @messages.message("place.end")
 @dataclasses.dataclass(frozen=True, slots=True)
 class LeaseEnd:
-    """Tells a coordinator that a waiting request or a lease has ended."""
+    """Notifies a coordinator of the end of a waiting request or lease."""
 
     service: str
     id: str
@@ -123,7 +123,7 @@
 @messages.message("place.report")
 @dataclasses.dataclass(frozen=True, slots=True)
 class LeaseReport:
-    """Tells a coordinator all leases and waiting requests of the sender."""
+    """Reports all leases and waiting requests of the sender."""
 
     service: str
     address: str
--- a/camphortray/slot_queue.py
+++ b/camphortray/slot_queue.py
@@ -15,8 +15,8 @@
 # Time between the end of a batch item and its due time, for its result to be
 # stored and read.
 RESULT_READ_S = 0.8
-# Items examined for one that can be preempted safely with little to prefill
-# again. Items with too little slack fill that many only when nearly all have.
+# Items examined to find one that can be preempted safely with little output
+# to prefill. If none of so many has enough slack, nearly all have too little.
 MAX_CANDIDATES = 64
 
 
--- a/camphortray/slot_reconciler.py
+++ b/camphortray/slot_reconciler.py
@@ -40,8 +40,8 @@
     ) -> list[slot_scheduler.Decision]:
         """Apply a report of all leases and waiting requests of one host.
 
-        Reports make up for lost messages, and tell a new coordinator which
-        requests run.
+        Reports make up for lost messages, and a new coordinator learns from
+        them which requests run.
         """
         self.accounting.revocations.holder_responded(holder)
         self.merge_leases(holder, leases, now)
--- a/camphortray/slot_scheduler.py
+++ b/camphortray/slot_scheduler.py
@@ -7,7 +7,7 @@
 priority:
 
 - an online request takes a free slot, else preempts a batch item, which
-  resumes elsewhere from its last event, else is queued if its turn is
+  resumes elsewhere from its last event, else is queued if a slot is
   expected within its maximum wait, else is refused at once;
 - batch items take the slots that online requests do not use, earliest due
   time first; items that can no longer meet their due time go last.
@@ -277,7 +277,7 @@
         """Return whether batch items are short of time.
 
         Args:
-          want: The first of them.
+          want: The batch item that is next in the queue.
           now: Present time.
         """
         slots = max(
--- a/camphortray/slottable.py
+++ b/camphortray/slottable.py
@@ -1,7 +1,7 @@
 """Slots of engines: how many are in use, and which engines have free ones.
 
 The counts are updated with each lease instead of computed for each decision:
-with 600 engines a decision that examined all of them took milliseconds.
+with 600 engines a decision that examines all of them takes milliseconds.
 """
 
 __all__ = ["EngineSlots", "SlotTable"]
@@ -16,7 +16,7 @@
 from camphortray import config as configs
 from camphortray import enginehealth
 
-# Smallest number of engines in a share: one may be put aside as unhealthy,
+# Smallest number of engines in a share: one may be ejected as unhealthy,
 # and a failed request is retried on another.
 MIN_SINGLE_ENGINES = 3
 
@@ -36,7 +36,7 @@
     Attributes:
       engines: Slots by engine.
       zones: Availability zone by engine.
-      health: Engines that are put aside or on trial with one request.
+      health: Engines that are ejected or on trial with one request.
       used: Slots in use, by engine; also of engines that are gone.
       experiments: Mechanisms in use; ablation experiments disable some.
       salt: Differs between hosts, so that each grants slots of different
@@ -159,11 +159,11 @@
         return self.health.room(engine, self.scaled(engine), now, ignore_trial)
 
     def unhealthy(self) -> list[str]:
-        """Return the engines that are put aside or on trial."""
+        """Return the engines that are ejected or on trial."""
         return [name for name in self.health.held if name in self.engines]
 
     def open_slots(self, now: float) -> int:
-        """Return the number of slots, used or free, not put aside."""
+        """Return the number of slots, used or free, except ejected ones."""
         return self.healthy_slots + sum(
             self.room(name, now, ignore_trial=True)
             for name in self.unhealthy()
--- a/camphortray/suspects.py
+++ b/camphortray/suspects.py
@@ -106,13 +106,13 @@
 
     A sender of requests calls ``verdict`` before each attempt, ``begin``
     and ``end`` around it, ``is_crash`` if its connection breaks and ``clear``
-    if it succeeds. A suspect first has to hold ``turn`` and to get an
+    if it succeeds. A suspect first has to lock ``turn`` and to get an
     upstream from ``acquire``.
 
     Attributes:
       detector: Crashes and quarantines known to this host.
       permits: Permits for the upstreams that this host coordinates.
-      turn: Held while a suspect asks for a permit.
+      turn: Lock held while a suspect asks for a permit.
       asked: Coordinators asked for permits, by upstream and holder.
       requests: Requests in flight, by upstream.
       breaking: Fingerprints in flight at upstreams that are being checked.
--- a/tests/test_coordinator_election.py
+++ b/tests/test_coordinator_election.py
@@ -61,9 +61,9 @@
     assert election.coordinator(SERVICE, 1.0) == SECOND
     election.exclude(SECOND, 1.5)
     assert election.coordinator(SERVICE, 1.5) == THIRD
-    election.readmit(1.0 + coordinator_election.EXCLUDED_S - 0.01)
+    election.readmit(1.0 + coordinator_election.EXCLUSION_S - 0.01)
     assert election.coordinator(SERVICE, 2.99) == THIRD
-    election.readmit(1.0 + coordinator_election.EXCLUDED_S)
+    election.readmit(1.0 + coordinator_election.EXCLUSION_S)
     assert election.coordinator(SERVICE, 3.0) == FIRST
     assert changed == [SERVICE] * 3
 
@@ -116,17 +116,17 @@
     for name in excluded:
         election.exclude(name, 0.0)
     assert election.share_of(SERVICE, holders, 0.1) == share
-    later = coordinator_election.EXCLUDED_S
+    later = coordinator_election.EXCLUSION_S
     assert election.share_of(SERVICE, 1, later) == 0.75
 
 
 def test_a_confirmed_exclusion_is_not_cut_short():
     election, _ = election_of(THIRD, live_members())
-    election.exclude(FIRST, 0.0, coordinator_election.CONFIRMED_S)
+    election.exclude(FIRST, 0.0, coordinator_election.CONFIRMED_EXCLUSION_S)
     election.exclude(FIRST, 1.0)
-    election.readmit(1.0 + coordinator_election.EXCLUDED_S)
+    election.readmit(1.0 + coordinator_election.EXCLUSION_S)
     assert election.coordinator(SERVICE, 4.0) == SECOND
-    election.readmit(coordinator_election.CONFIRMED_S)
+    election.readmit(coordinator_election.CONFIRMED_EXCLUSION_S)
     assert election.coordinator(SERVICE, 6.0) == FIRST
 
 
--- a/tests/test_slot_reconciler.py
+++ b/tests/test_slot_reconciler.py
@@ -168,7 +168,7 @@
     scheduler.ask(held_by("i1", "a"), 0.0)
     (revoked, _) = scheduler.ask(slotkit.online("q0", 1.0), 1.0)
     scheduler.done(revoked.want.id, Outcome.NOTHING, 1.004)
-    assert scheduler.decide(1.0 + revocations.CONFIRM_S) == []
+    assert scheduler.decide(1.0 + revocations.CONFIRM_TIMEOUT_S) == []
     assert (
         slotkit.kinds(scheduler.ask(slotkit.online("q1", 1.1), 1.1))[0][0]
         == "Revoke"
@@ -188,7 +188,7 @@
     (revoked, _) = scheduler.ask(slotkit.online("q0", 1.0), 1.0)
     assert revoked.want.holder == "a"
     expiry_at = scheduler.next_decision_at(1.0)
-    assert expiry_at == pytest.approx(1.0 + revocations.CONFIRM_S)
+    assert expiry_at == pytest.approx(1.0 + revocations.CONFIRM_TIMEOUT_S)
     scheduler.decide(expiry_at)
     assert scheduler.used == {"e0": 5}
     (revoked, _) = scheduler.ask(slotkit.online("q1", 1.2), 1.2)
@@ -225,7 +225,7 @@
     for number, holder in enumerate("aaab"):
         scheduler.ask(held_by(f"i{number}", holder), 0.0)
     (first, _) = scheduler.ask(slotkit.online("q0", 1.0), 1.0)
-    late = 1.0 + 2 * revocations.SLOW_S
+    late = 1.0 + 2 * revocations.SLOW_CONFIRM_S
     (second, _) = scheduler.ask(slotkit.online("q1", late), late)
     (third, _) = scheduler.ask(slotkit.online("q2", late), late)
     holders = [d.want.holder for d in (first, second, third)]
@@ -245,7 +245,7 @@
     else:
         # The holder stops its item only after the timeout to confirm.
         scheduler.ask(slotkit.online("q"), 1.0)
-        scheduler.decide(1.0 + revocations.CONFIRM_S)
+        scheduler.decide(1.0 + revocations.CONFIRM_TIMEOUT_S)
     assert scheduler.accounting.orphaned.count("e0") == 1
     (late,) = {"item0", "item1"} - scheduler.leases.keys()
     used = scheduler.used["e0"]
