--- a/tests/test_coordinator_election.py
+++ b/tests/test_coordinator_election.py
@@ -45,7 +45,7 @@
         ({"http_address": ""}, SECOND, FIRST),
     ],
 )
-def test_a_host_that_may_not_answer_is_asked_by_itself_only(
+def test_a_host_that_may_not_answer_is_elected_only_by_itself(
     changes, others_see, it_sees
 ):
     live = live_members()
@@ -156,7 +156,7 @@
 
 
 @pytest.mark.parametrize("seed", range(5))
-def test_a_change_of_one_member_elects_as_a_look_at_all_does(seed):
+def test_a_change_of_one_member_elects_as_an_election_of_all_does(seed):
     """Elections missed a coordinator that joined or left."""
     rng = random.Random(seed)
     live = {}
--- a/tests/test_item_stall_detector.py
+++ b/tests/test_item_stall_detector.py
@@ -63,7 +63,7 @@
 
 
 async def test_a_partition_that_is_given_up_reports_no_items():
-    # Found by the soak: a draining host logged accepted items as unassigned.
+    # A draining host logged accepted items as unassigned.
     # Its owner had stopped and cleared its queue but stayed registered while
     # its tasks ended, and the gauges were updated in that moment. The next
     # owner runs these items.
--- a/tests/test_lease_reporting.py
+++ b/tests/test_lease_reporting.py
@@ -62,17 +62,17 @@
         held.links.notify = drop
         assert await slotclientkit.ask(other_host, "a") == 200
         assert dropped
-        book = (
+        scheduler = (
             coordinator_host.part(slot_client.SlotClient)
             .served.by_service[SERVICE]
             .scheduler
         )
-        assert "a.0" in book.leases
+        assert "a.0" in scheduler.leases
         for engine in platform.engines.values():
             engine.faults = ["wait"] * 4
         # A second request is held, so that the next report is not empty.
         asking = asyncio.ensure_future(slotclientkit.ask(other_host, "b"))
-        await platform.until(lambda: "a.0" not in book.leases)
+        await platform.until(lambda: "a.0" not in scheduler.leases)
         for engine in platform.engines.values():
             engine.go.set()
         assert await asking == 200
@@ -97,8 +97,8 @@
     links.handlers[slot_messages.SlotAsk] = slow
 
 
-def books(platform):
-    """Return the slot books of all hosts that have one, by member name."""
+def schedulers(platform):
+    """Return the schedulers of all coordinating hosts, by member name."""
     parts = [host.part(slot_client.SlotClient) for host in platform.hosts]
     return {
         part.own_name: part.served.by_service[SERVICE].scheduler
@@ -119,21 +119,21 @@
         replies_allowed = asyncio.Event()
         delay_replies(coordinator_host, replies_allowed)
         assert await slotclientkit.ask(other_host, "a") == 200
-        book = books(platform)[
+        scheduler = schedulers(platform)[
             coordinator_host.part(slot_client.SlotClient).own_name
         ]
-        await platform.until(lambda: not book.leases)
-        assert not book.used
+        await platform.until(lambda: not scheduler.leases)
+        assert not scheduler.used
         replies_allowed.set()
 
 
-async def test_every_coordinator_that_may_count_a_lease_is_told_of_its_end(
+async def test_every_coordinator_that_may_count_a_lease_is_notified_of_its_end(
     no_expiry,
 ):
     # A host whose coordinator is unresponsive grants itself a slot and fails
-    # over while the request runs. Only the next coordinator was told of the
-    # end; the slot stayed taken in the host's own book. After five of these,
-    # the host refused its callers when it next had to grant slots itself.
+    # over while the request runs. Only the next coordinator was notified of
+    # the end; the slot stayed taken in the host's own scheduler. After five of
+    # these, the host refused its callers when it next had to grant slots.
     async with platformkit.Platform(hosts=3) as platform:
         coordinator_host, other_host = slotclientkit.roles(platform)
         for engine in platform.engines.values():
@@ -151,15 +151,21 @@
         if slotclientkit.coordinator(held) == name:
             await platform.until(
                 lambda: (
-                    name in books(platform) and books(platform)[name].leases
+                    name in schedulers(platform)
+                    and schedulers(platform)[name].leases
                 )
             )
         for engine in platform.engines.values():
             engine.go.set()
         assert await asking == 200
-        assert not books(platform)[held.own_name].leases
+        assert not schedulers(platform)[held.own_name].leases
         await platform.until(
-            lambda: not any(book.leases for book in books(platform).values())
+            lambda: (
+                not any(
+                    scheduler.leases
+                    for scheduler in schedulers(platform).values()
+                )
+            )
         )
 
 
@@ -189,8 +195,8 @@
             engine.go.set()
         assert await asking == 200
         assert dropped
-        book = books(platform)[
+        scheduler = schedulers(platform)[
             coordinator_host.part(slot_client.SlotClient).own_name
         ]
-        await platform.until(lambda: not book.leases)
+        await platform.until(lambda: not scheduler.leases)
         assert not held.reports.reported_to
--- a/tests/test_online_decisions.py
+++ b/tests/test_online_decisions.py
@@ -120,20 +120,20 @@
 
 
 def test_outliers_are_ejected_longer_each_time_and_never_too_many():
-    book = outlier.Outliers()
+    outliers = outlier.Outliers()
     names = ["a", "b", "c", "d"]
     for name in names[:3]:
         for _ in range(outlier.FAILURE_THRESHOLD):
-            book.failed(name, 10.0)
-    assert len(book.ejected(names, 10.5)) == 2
-    assert book.ejected(["a"], 10.5) == set()
-    assert book.ejected(names, 12.5) == set()
-    book.failed("a", 12.5)
-    assert book.ejected(names, 16.0) == {"a"}
-    book.succeeded("a")
-    assert book.ejected(names, 16.0) == set()
-    book.failed("a", 16.0)
-    assert book.ejected(names, 16.0) == set()
+            outliers.failed(name, 10.0)
+    assert len(outliers.ejected(names, 10.5)) == 2
+    assert outliers.ejected(["a"], 10.5) == set()
+    assert outliers.ejected(names, 12.5) == set()
+    outliers.failed("a", 12.5)
+    assert outliers.ejected(names, 16.0) == {"a"}
+    outliers.succeeded("a")
+    assert outliers.ejected(names, 16.0) == set()
+    outliers.failed("a", 16.0)
+    assert outliers.ejected(names, 16.0) == set()
 
 
 LIVE, LEAVING, GONE = "live", "leaving", "gone"
@@ -159,69 +159,72 @@
     ],
 )
 def test_a_leaving_upstream_comes_back_only_on_good_word(lists, state, back):
-    book = draining.DrainingUpstreams()
-    book.mark("e", True, 100.0)
+    draining_upstreams = draining.DrainingUpstreams()
+    draining_upstreams.mark("e", True, 100.0)
     for status in lists:
-        book.on_list([hostlist.ListedHost("e", "upstream", status)])
-    assert book.is_back("e", state, 101.0) is back
+        draining_upstreams.on_list(
+            [hostlist.ListedHost("e", "upstream", status)]
+        )
+    assert draining_upstreams.is_back("e", state, 101.0) is back
     # One that cannot be asked is used again once the list is up to date.
     late = 100.0 + draining.LISTED_RETURN_S
     back = back or (state is None and lists == [LIVE])
     # Without a list, its own state decides after a while.
     back = back or (state is SERVING and not lists)
-    assert book.is_back("e", state, late) is back
+    assert draining_upstreams.is_back("e", state, late) is back
 
 
 def test_a_list_read_before_a_mark_does_not_clear_it():
-    # One host reads in the list that an upstream is leaving and tells the
-    # others. Another, with an older list, asks the upstream, which does not
-    # know yet. It was then marked as back, and all hosts sent it new work.
-    book = draining.DrainingUpstreams()
+    # One host reads in the list that an upstream is leaving and notifies the
+    # others. Another, with an older list, queries the upstream, which does not
+    # know yet. The upstream was then marked as back, and all hosts sent it new
+    # work.
+    draining_upstreams = draining.DrainingUpstreams()
     line = hostlist.ListedHost("e", "upstream", LIVE)
-    book.on_list([line])
-    book.mark("e", True, 100.0)
-    assert not book.is_back("e", SERVING, 101.0)
-    book.on_list([line])
-    assert book.is_back("e", SERVING, 101.5)
+    draining_upstreams.on_list([line])
+    draining_upstreams.mark("e", True, 100.0)
+    assert not draining_upstreams.is_back("e", SERVING, 101.0)
+    draining_upstreams.on_list([line])
+    assert draining_upstreams.is_back("e", SERVING, 101.5)
 
 
 def test_the_list_reports_a_leaving_upstream_once_and_no_hosts():
-    book = draining.DrainingUpstreams()
+    draining_upstreams = draining.DrainingUpstreams()
     lines = [
         hostlist.ListedHost("e", "upstream", LEAVING),
         hostlist.ListedHost("h", "host", LEAVING),
     ]
-    assert book.on_list(lines) == ["e"]
-    book.mark("e", True, 100.0)
-    assert book.on_list(lines) == []
+    assert draining_upstreams.on_list(lines) == ["e"]
+    draining_upstreams.mark("e", True, 100.0)
+    assert draining_upstreams.on_list(lines) == []
 
 
 def test_own_requests_count_at_once_and_reports_decay():
-    book = routing.LoadTracker()
-    book.report("e", engine.LoadReport(8, 4, 0.5, age_s=0.0), 100.0)
-    assert book.total("e", 100.0) == 12
-    book.load("e").own += 3
-    assert book.total("e", 100.0) == 15
-    assert book.total("e", 100.0 + routing.REPORT_HALF_LIFE_S) == 9
-    book.report("e", engine.LoadReport(8, 4, 0.5, age_s=4.0), 104.0)
-    assert book.total("e", 104.0) == pytest.approx(3 + 9 / 2)
+    tracker = routing.LoadTracker()
+    tracker.report("e", engine.LoadReport(8, 4, 0.5, age_s=0.0), 100.0)
+    assert tracker.total("e", 100.0) == 12
+    tracker.load("e").own += 3
+    assert tracker.total("e", 100.0) == 15
+    assert tracker.total("e", 100.0 + routing.REPORT_HALF_LIFE_S) == 9
+    tracker.report("e", engine.LoadReport(8, 4, 0.5, age_s=4.0), 104.0)
+    assert tracker.total("e", 104.0) == pytest.approx(3 + 9 / 2)
 
 
 def test_a_slow_or_unmeasured_upstream_is_tried_again():
     # An engine that was slow for a while, or is new, gets no requests and so
     # is not measured; all load then goes to the other one and callers wait
     # longer than necessary. An old measurement must therefore lose weight.
-    book = routing.LoadTracker()
+    tracker = routing.LoadTracker()
     for step in range(100):
-        book.record_ttft("slow", 0.9, 0.0, 100.0)
-        book.record_ttft("quick", 0.1, 0.0, 100.0 + step)
+        tracker.record_ttft("slow", 0.9, 0.0, 100.0)
+        tracker.record_ttft("quick", 0.1, 0.0, 100.0 + step)
     waits = [
-        [book.wait_s(upstream(n), at) for n in ("slow", "quick", "new")]
+        [tracker.wait_s(upstream(n), at) for n in ("slow", "quick", "new")]
         for at in (199.0, 300.0)
     ]
     slow, quick, new = waits[0]
     assert quick < new < slow or slow == pytest.approx(new, rel=0.2)
-    assert waits[1] == [pytest.approx(book.mean_ttft_s, rel=0.01)] * 3
+    assert waits[1] == [pytest.approx(tracker.mean_ttft_s, rel=0.01)] * 3
 
 
 def chosen(waits, zones=None, zone="", key=None, rounds=400):
@@ -301,29 +304,29 @@
 def test_only_the_one_common_to_two_crashes_is_quarantined(
     reports, cleared, guilty, apart
 ):
-    book = poison.PoisonDetector(100.0)
+    detector = poison.PoisonDetector(100.0)
     for name, at, suspects in reports:
-        book.report(name, 1000.0 + at, suspects)
+        detector.report(name, 1000.0 + at, suspects)
     for name, at in cleared:
-        book.clear(name, 1000.0 + at)
-    standing = {n: book.verdict(n, 1014.0).standing for n in (P, X, Y)}
+        detector.clear(name, 1000.0 + at)
+    standing = {n: detector.verdict(n, 1014.0).standing for n in (P, X, Y)}
     kind = poison.Standing
     assert {n for n, s in standing.items() if s is kind.QUARANTINED} == guilty
     assert {n for n, s in standing.items() if s is kind.ISOLATED} == apart
 
 
 def test_suspicion_and_quarantine_wait_for_reports_and_expire():
-    book = poison.PoisonDetector(100.0)
-    book.report("a", 1000.0, {P, X})
-    assert book.verdict(P, 1000.0).at == 1000.0 + poison.SETTLE_S
-    book.report("b", 1010.0, {P})
-    assert book.verdict(P, 1011.0).standing is poison.Standing.ISOLATED
-    assert book.verdict(P, 1013.0).standing is poison.Standing.QUARANTINED
-    book.report("c", 1014.0, {P, Y})
-    assert book.verdict(Y, 1020.0) == poison.FREE
-    assert book.verdict(P, 1111.0) == poison.FREE
-    book.report("d", 2000.0, {X})
-    assert book.verdict(X, 2000.0 + poison.SUSPECT_S + 1) == poison.FREE
+    detector = poison.PoisonDetector(100.0)
+    detector.report("a", 1000.0, {P, X})
+    assert detector.verdict(P, 1000.0).at == 1000.0 + poison.SETTLE_S
+    detector.report("b", 1010.0, {P})
+    assert detector.verdict(P, 1011.0).standing is poison.Standing.ISOLATED
+    assert detector.verdict(P, 1013.0).standing is poison.Standing.QUARANTINED
+    detector.report("c", 1014.0, {P, Y})
+    assert detector.verdict(Y, 1020.0) == poison.FREE
+    assert detector.verdict(P, 1111.0) == poison.FREE
+    detector.report("d", 2000.0, {X})
+    assert detector.verdict(X, 2000.0 + poison.SUSPECT_S + 1) == poison.FREE
 
 
 def test_one_suspect_at_a_time_on_an_upstream():
--- a/tests/test_refusals.py
+++ b/tests/test_refusals.py
@@ -172,9 +172,9 @@
 
 
 def quarantine(cluster, patch):
-    book = part(cluster, suspects.Suspects).detector
+    detector = part(cluster, suspects.Suspects).detector
     text = completion.parse(online.CHAT, VALID_BODY).text
-    book.quarantined[poison.fingerprint(clusters.MODEL, text)] = 9e9
+    detector.quarantined[poison.fingerprint(clusters.MODEL, text)] = 9e9
 
 
 def crash_all(cluster, patch):
--- a/tests/test_slot_client.py
+++ b/tests/test_slot_client.py
@@ -30,13 +30,13 @@
             for m in range(5)
         ]
         assert set(await asyncio.gather(*asks)) == {200}
-        book = (
+        scheduler = (
             coordinator_host.part(slot_client.SlotClient)
             .served.by_service[SERVICE]
             .scheduler
         )
-        await platform.until(lambda: not book.leases)
-        assert not book.used
+        await platform.until(lambda: not scheduler.leases)
+        assert not scheduler.used
         for host in platform.hosts:
             held = host.part(slot_client.SlotClient)
             assert not held.held
@@ -108,12 +108,12 @@
         host = await platform.add("host-0")
         await platform.until(lambda: host.ready)
         served = host.part(slot_client.SlotClient).served
-        book = served.coordinator(SERVICE).scheduler
-        await platform.until(lambda: book.accounting.orphaned)
+        scheduler = served.coordinator(SERVICE).scheduler
+        await platform.until(lambda: scheduler.accounting.orphaned)
         assert await slotclientkit.ask(host, "a1") == 503
         assert not engine.ran
         engine.foreign = 0
-        await platform.until(lambda: not book.accounting.orphaned)
+        await platform.until(lambda: not scheduler.accounting.orphaned)
         assert await slotclientkit.ask(host, "a2") == 200
 
 
--- a/tests/test_slot_reconciler.py
+++ b/tests/test_slot_reconciler.py
@@ -26,7 +26,7 @@
     assert new.free_slots(5.0) == 1
 
 
-def test_a_report_makes_up_for_a_lost_end():
+def test_a_report_replaces_a_lost_lease_end():
     # Without the message of its end, the slot of a lease would stay in use
     # for ever. A grant that has not yet arrived must not count as ended.
     scheduler = slotkit.scheduler_of()
@@ -119,7 +119,7 @@
     assert scheduler.free_slots(0.3) == 4
 
 
-def test_runs_without_a_holder_end_where_no_report_comes():
+def test_orphaned_leases_expire_without_a_report():
     scheduler = slotkit.scheduler_of(engines=1, slots=2)
     reconciler = slot_reconciler.SlotReconciler(scheduler)
     slotkit.fill(scheduler, 2, slotkit.item)
@@ -131,7 +131,7 @@
     assert not scheduler.used
 
 
-def test_a_lease_that_its_holder_no_longer_names_waits_for_a_report():
+def test_a_lease_missing_from_the_report_of_its_holder_is_orphaned():
     # Its end was lost, or the holder has restarted after a power loss and the
     # request still runs. Only the engine's report can tell.
     scheduler = slotkit.scheduler_of(engines=1, slots=2)
@@ -162,7 +162,7 @@
     return dataclasses.replace(slotkit.item(name), holder=holder)
 
 
-def test_a_holder_that_stops_its_item_is_asked_again():
+def test_a_holder_that_stops_its_item_may_be_preempted_again():
     scheduler = slotkit.scheduler_of(engines=1, slots=2)
     scheduler.ask(held_by("i0", "a"), 0.0)
     scheduler.ask(held_by("i1", "a"), 0.0)
@@ -204,7 +204,7 @@
     assert scheduler.used == {"e0": 5}
 
 
-def test_a_holder_that_is_heard_of_gives_slots_again():
+def test_a_holder_that_responds_again_may_be_preempted_again():
     scheduler = slotkit.scheduler_of(engines=1, slots=2)
     reconciler = slot_reconciler.SlotReconciler(scheduler)
     wants = [held_by("i0", "a"), held_by("i1", "a")]
@@ -220,7 +220,7 @@
     assert not scheduler.accounting.revocations.unresponsive
 
 
-def test_a_holder_that_is_slow_to_answer_is_asked_last():
+def test_a_holder_that_is_slow_to_confirm_is_preempted_last():
     scheduler = slotkit.scheduler_of(engines=1, slots=4)
     for number, holder in enumerate("aaab"):
         scheduler.ask(held_by(f"i{number}", holder), 0.0)
@@ -233,7 +233,7 @@
 
 
 @pytest.mark.parametrize("lost", ["report", "revocation"])
-def test_an_orphan_whose_end_comes_late_gives_its_slot_back(lost):
+def test_a_late_end_frees_the_slot_of_an_orphaned_lease(lost):
     """A slot stayed in use until its engine was polled, or for 8 s."""
     scheduler = slotkit.scheduler_of(engines=1, slots=2)
     reconciler = slot_reconciler.SlotReconciler(scheduler)
--- a/tests/test_slot_scheduler.py
+++ b/tests/test_slot_scheduler.py
@@ -43,7 +43,7 @@
         ((2.0, 30.0), "i0"),
     ],
 )
-def test_the_item_that_loses_least_gives_way(dues, preemption_candidate):
+def test_the_item_that_loses_least_is_preempted(dues, preemption_candidate):
     scheduler = slotkit.scheduler_of(engines=1, slots=2)
     for number, due_at in enumerate(dues):
         scheduler.ask(slotkit.item(f"i{number}", due_at), 0.0)
@@ -51,7 +51,7 @@
     assert slotkit.kinds(decisions)[0] == ("Revoke", preemption_candidate)
 
 
-def test_a_question_is_refused_at_once_when_its_turn_comes_too_late():
+def test_an_online_request_is_refused_at_once_if_its_wait_is_too_long():
     # Twenty online requests ask for four slots that are held for 0.7 s each.
     # Later ones would miss their objective; refused at once, their callers
     # can retry while others are served.
@@ -76,7 +76,7 @@
         assert isinstance(decision, Grant)
 
 
-def test_a_queued_question_gets_the_next_slot_before_any_item():
+def test_a_queued_online_request_gets_the_next_slot_before_any_item():
     scheduler = slotkit.scheduler_of(engines=1, slots=8)
     slotkit.fill(scheduler, 8)
     assert scheduler.ask(slotkit.online("q", 0.0), 0.0) == []
@@ -85,7 +85,7 @@
     assert slotkit.kinds(decisions) == [("Grant", "q")]
 
 
-def test_a_queued_question_is_refused_after_its_longest_wait():
+def test_a_queued_online_request_is_refused_after_its_maximum_wait():
     scheduler = slotkit.scheduler_of(engines=1, slots=8)
     slotkit.fill(scheduler, 8)
     scheduler.ask(slotkit.online("q", 0.0), 0.0)
@@ -104,7 +104,7 @@
     ]
 
 
-def test_items_that_can_be_in_time_go_first_the_next_due_before_others():
+def test_items_that_can_be_in_time_go_first_by_due_time():
     scheduler = slotkit.scheduler_of(engines=1, slots=1)
     slotkit.fill(scheduler, 1)
     for name, due_at in (("late", 3.0), ("b", 20.0), ("a", 12.0)):
@@ -127,7 +127,7 @@
         ([Outcome.NOTHING], 0.0),
     ],
 )
-def test_what_an_engine_is_put_aside_for(outcomes, open_again_s):
+def test_which_outcomes_eject_an_engine(outcomes, open_again_s):
     # One truncated response may be due to its request or the network; an
     # engine that cannot be reached gets no requests for a while.
     scheduler = slotkit.scheduler_of(engines=1, slots=4)
@@ -138,7 +138,7 @@
     assert scheduler.room("e0", open_again_s) > 0
 
 
-def test_an_engine_that_was_out_of_reach_is_tried_with_one_request():
+def test_an_engine_that_was_unreachable_is_tried_with_one_request():
     scheduler = slotkit.scheduler_of(engines=1, slots=8)
     scheduler.ask(slotkit.online("q"), 0.0)
     scheduler.done("q", Outcome.UNREACHED, 0.0)
@@ -151,7 +151,7 @@
     assert scheduler.free_slots(later) == 8
 
 
-def test_pauses_double_while_an_engine_stays_out_of_reach():
+def test_pauses_double_while_an_engine_stays_unreachable():
     scheduler = slotkit.scheduler_of(engines=1)
     now = 0.0
     for pause_s in (0.5, 1.0, 2.0, 4.0, 4.0):
@@ -192,7 +192,7 @@
     assert len(scheduler.leases) == 1
 
 
-def test_without_any_engine_a_question_is_refused():
+def test_without_any_engine_an_online_request_is_refused():
     scheduler = slot_scheduler.SlotScheduler()
     ((kind, _),) = slotkit.kinds(scheduler.ask(slotkit.online("q"), 0.0))
     assert kind == "Refuse"
@@ -217,12 +217,12 @@
         (errors.UpstreamTimeout("no way", ran=False), Outcome.UNREACHED),
     ],
 )
-def test_what_a_failure_says_of_its_engine(error, outcome):
+def test_what_a_failure_shows_about_its_engine(error, outcome):
     assert enginehealth.outcome_of(error) is outcome
 
 
 @pytest.mark.parametrize("prefix", ["", "p"])
-def test_an_engine_in_the_askers_zone_goes_before_others_while_it_has_room(
+def test_an_engine_in_the_holders_zone_is_preferred_while_it_has_room(
     prefix,
 ):
     scheduler = slot_scheduler.SlotScheduler()
--- a/tests/test_slotload.py
+++ b/tests/test_slotload.py
@@ -163,8 +163,7 @@
     # one takes some ten milliseconds later. An item started in between is
     # preempted before its first event, and its output so far is prefilled
     # again for nothing, ahead of the prompts of online requests. Runs under
-    # 0.1 s for seeds 1 to 3: 200, 187 and 217 if slots are granted at once;
-    # 54, 46 and 67 if held back.
+    # 0.1 s: 187 to 217 if slots are granted at once, 46 to 67 if held back.
     at_once = Simulation(seed, 0.0, FEW_ITEMS).run()
     held_back = Simulation(seed, 0.04, FEW_ITEMS).run()
     assert held_back.short * 3 < at_once.short
