--- a/camphortray/backlog_gossip.py
+++ b/camphortray/backlog_gossip.py
@@ -19,7 +19,7 @@
 from camphortray import tasks
 
 LOG = logs.logger("jobs")
-# Kind of the facts that hold the counts.
+# Kind of the facts that hold the counts, and their lifetime in seconds.
 WAITING_FACT = "job-waiting"
 FACT_TTL_S = 600.0
 # Seconds between counts of waiting tokens.
--- a/camphortray/crash_counter.py
+++ b/camphortray/crash_counter.py
@@ -6,8 +6,8 @@
 # other requests of the engine, and engines lose a response now and then, but
 # an innocent request almost never meets three of these by chance.
 MAX_CRASHES = 3
-# Time for which a crash is counted.
-KEEP_S = 300.0
+# Seconds for which a crash is counted.
+CRASH_TTL_S = 300.0
 # Requests remembered; the least recently crashed are dropped first.
 MAX_REQUESTS = 10_000
 
@@ -18,7 +18,7 @@
     def __init__(self) -> None:
         self.crashes: dict[str, dict[str, float]] = {}
 
-    def note(self, fingerprint: str, name: str, now: float) -> None:
+    def record(self, fingerprint: str, name: str, now: float) -> None:
         """Record a crash.
 
         Args:
@@ -35,7 +35,7 @@
     def count(self, fingerprint: str, now: float) -> int:
         """Return the number of recent crashes of a request."""
         held = self.crashes.get(fingerprint, {})
-        return sum(now - at < KEEP_S for at in held.values())
+        return sum(now - at < CRASH_TTL_S for at in held.values())
 
     def barred(self, fingerprint: str, now: float) -> bool:
         """Return whether a request must not be run again."""
--- a/camphortray/crash_reports.py
+++ b/camphortray/crash_reports.py
@@ -8,7 +8,8 @@
 from camphortray import kernel
 from camphortray import membership
 
-CRASH = "request-break"
+# Kind of the fact that a request was in flight at a crash.
+CRASH_FACT = "request-break"
 
 
 @kernel.PARTS.register("host")
@@ -26,7 +27,7 @@
         self.clock = context.clock
         self.members = context.part(membership.Membership)
         self.counter = crash_counter.CrashCounter()
-        self.members.on_fact(CRASH, self.on_crash)
+        self.members.on_fact(CRASH_FACT, self.on_crash)
 
     @classmethod
     def from_config(cls, context: kernel.Context) -> "CrashReports":
@@ -35,12 +36,12 @@
     def on_crash(self, fact: membership.Fact) -> None:
         """Count a crash reported by any host."""
         fingerprint, _, name = fact.key.partition("/")
-        self.counter.note(fingerprint, name, self.clock.monotonic())
+        self.counter.record(fingerprint, name, self.clock.monotonic())
 
     def report(self, fingerprint: str, name: str) -> None:
         """Report a crash to all hosts, this one included."""
         key = f"{fingerprint}/{name}"
-        self.members.publish(CRASH, key, 1, crash_counter.KEEP_S)
+        self.members.publish(CRASH_FACT, key, 1, crash_counter.CRASH_TTL_S)
 
     def barred(self, fingerprint: str) -> bool:
         """Return whether a request must not be run again."""
--- a/camphortray/dispatch.py
+++ b/camphortray/dispatch.py
@@ -21,7 +21,7 @@
 from camphortray import tree
 
 LOG = logs.logger("dispatch")
-# Longest time between two checks of a queue.
+# Maximum seconds between two checks of a queue.
 POLL_INTERVAL_S = 0.5
 # Weight of a new measurement in the moving average of the time between the
 # ends of two items.
--- a/camphortray/isolation.py
+++ b/camphortray/isolation.py
@@ -144,7 +144,7 @@
             and now - crash.at <= poison.RELATED_S
             and name not in crash.suspects
         }
-        return len(others) < poison.RELATED
+        return len(others) < poison.MIN_RELATED_CRASHES
 
 
 def fingerprint(path: str, item: jobqueue.Item) -> str:
--- a/camphortray/limits.py
+++ b/camphortray/limits.py
@@ -12,12 +12,12 @@
 import math
 
 # Share of a limit that all hosts without a share may use together.
-UNKNOWN_SHARE = 0.1
-# Time constant of the moving average of demand.
+UNALLOCATED_SHARE = 0.1
+# Time constant of the moving average of demand, in seconds.
 DEMAND_WINDOW_S = 5.0
 # Demand in requests per second below which the state of a workspace is
 # dropped.
-MIN_DEMAND = 0.01
+MIN_DEMAND_PER_S = 0.01
 # Share of a limit that a host may admit as a burst, or see as demand, without
 # a report. Most workspaces call a host rarely and so cause no message.
 FREE_SHARE = 0.1
@@ -25,11 +25,11 @@
 # not before this time since that report.
 REPORT_GROWTH = 1.5
 MIN_REPORT_INTERVAL_S = 1.0
-# Validity of a share at low demand and at higher demand.
+# Seconds for which a share is valid at low demand and at higher demand.
 LOW_DEMAND_SHARE_S = 20.0
 HIGH_DEMAND_SHARE_S = 4.0
 # Total demand up to this share of the limit counts as low.
-LOW_DEMAND = 0.5
+LOW_DEMAND_FRACTION = 0.5
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
@@ -113,7 +113,7 @@
             return limit
         # Once its share has expired, the host uses an even split of the
         # limit, which is safe whatever the other hosts do.
-        fraction = 1.0 if state.share is not None else UNKNOWN_SHARE
+        fraction = 1.0 if state.share is not None else UNALLOCATED_SHARE
         return limit * fraction / hosts
 
     def due_reports(self, now: float) -> dict[str, float]:
@@ -123,7 +123,7 @@
             demand = state.demand * math.exp(
                 -(now - state.at) / DEMAND_WINDOW_S
             )
-            if demand < MIN_DEMAND:
+            if demand < MIN_DEMAND_PER_S:
                 del self.states[key]
                 continue
             is_small = demand < FREE_SHARE * state.limit and state.tokens >= 1
@@ -170,8 +170,8 @@
         self.demands[host] = (demand, now + LOW_DEMAND_SHARE_S)
         total = sum(demand for demand, _ in self.demands.values())
         unknown = max(0, hosts - len(self.demands)) / max(1, hosts)
-        usable = limit * (1 - UNKNOWN_SHARE * unknown)
-        if total <= LOW_DEMAND * limit:
+        usable = limit * (1 - UNALLOCATED_SHARE * unknown)
+        if total <= LOW_DEMAND_FRACTION * limit:
             # Leaves headroom for this host's demand to grow; it reports
             # again when it does.
             return Share(demand + (usable - total) / 2, LOW_DEMAND_SHARE_S)
--- a/camphortray/onlinepeaks.py
+++ b/camphortray/onlinepeaks.py
@@ -34,7 +34,7 @@
     def __init__(self) -> None:
         self.steps: collections.deque[tuple[float, int]] = collections.deque()
 
-    def note(self, count: int, now: float) -> None:
+    def record(self, count: int, now: float) -> None:
         """Record the count from now on."""
         since = now
         while self.steps and self.steps[-1][1] <= count:
--- a/camphortray/orphaned_leases.py
+++ b/camphortray/orphaned_leases.py
@@ -53,23 +53,23 @@
 
     def count(self, engine: str) -> int:
         """Return the number of orphaned leases of an engine."""
-        held = self.by_engine.get(engine)
-        return held.count if held is not None else 0
+        orphans = self.by_engine.get(engine)
+        return orphans.count if orphans is not None else 0
 
     def add(self, engine: str, want_id: str, now: float) -> None:
         """Add a lease that has ended without a message."""
         self.engines[want_id] = engine
-        held = self.by_engine.setdefault(engine, EngineOrphans(0, 0.0))
-        held.count += 1
-        held.expires_at = now + MAX_ORPHAN_S
+        orphans = self.by_engine.setdefault(engine, EngineOrphans(0, 0.0))
+        orphans.count += 1
+        orphans.expires_at = now + MAX_ORPHAN_S
 
     def adopt(self, engine: str) -> bool:
         """Remove one whose holder reports it; return whether there was any."""
-        held = self.by_engine.get(engine)
-        if held is None:
+        orphans = self.by_engine.get(engine)
+        if orphans is None:
             return False
-        held.count -= 1
-        if not held.count:
+        orphans.count -= 1
+        if not orphans.count:
             self.forget(engine)
         return True
 
@@ -92,20 +92,20 @@
         if unaccounted <= 0:
             self.forget(engine)
             return
-        held = self.by_engine.setdefault(
+        orphans = self.by_engine.setdefault(
             engine, EngineOrphans(0, now + MAX_ORPHAN_S)
         )
-        if unaccounted < held.count:
+        if unaccounted < orphans.count:
             # It is not known which of them have ended.
             self.forget_ids(engine)
-        held.count = unaccounted
+        orphans.count = unaccounted
 
     def expire(self, now: float) -> list[str]:
         """Drop leases past their time limit; return their engines."""
         expired = [
             engine
-            for engine, held in self.by_engine.items()
-            if now >= held.expires_at
+            for engine, orphans in self.by_engine.items()
+            if now >= orphans.expires_at
         ]
         for engine in expired:
             self.forget(engine)
--- a/camphortray/poison.py
+++ b/camphortray/poison.py
@@ -18,7 +18,7 @@
 # how many seconds of its second crash, for the cause to be a shared failure
 # (a lost zone or rack). Fewer may be another poison request, and must not
 # exonerate this one.
-RELATED = 2
+MIN_RELATED_CRASHES = 2
 RELATED_S = 5.0
 # Length of a fingerprint in hexadecimal digits.
 FINGERPRINT_DIGITS = 24
@@ -186,7 +186,7 @@
             and not other.explained
             and name not in other.suspects
         }
-        return len(others) >= RELATED
+        return len(others) >= MIN_RELATED_CRASHES
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
--- a/camphortray/revocations.py
+++ b/camphortray/revocations.py
@@ -69,7 +69,7 @@
         """Mark a holder as responsive, as a message of it has arrived."""
         self.unresponsive.discard(holder)
 
-    def lapsed(self, now: float) -> dict[str, Revocation]:
+    def pop_expired(self, now: float) -> dict[str, Revocation]:
         """Remove and return the leases past the timeout, by request id."""
         late = {
             want_id: revocation
--- a/camphortray/slot_accounting.py
+++ b/camphortray/slot_accounting.py
@@ -59,9 +59,9 @@
         self.drop(want.id)
         self.revocations.add(want.id, lease.engine, want.holder, now)
 
-    def lapse(self, now: float) -> None:
+    def orphan_unconfirmed(self, now: float) -> None:
         """Count unconfirmed revoked leases as orphaned after the timeout."""
-        for want_id, revocation in self.revocations.lapsed(now).items():
+        for want_id, revocation in self.revocations.pop_expired(now).items():
             self.orphaned.add(revocation.engine, want_id, now)
             self.table.count(revocation.engine, 1)
 
--- a/camphortray/slot_coordinator.py
+++ b/camphortray/slot_coordinator.py
@@ -171,7 +171,7 @@
             )
 
     def log_unresponsive(self) -> None:
-        """Log holders that became unresponsive or are so no longer."""
+        """Log holders that became unresponsive or respond again."""
         silent = frozenset(self.scheduler.accounting.revocations.unresponsive)
         for holder in silent - self.unresponsive:
             LOG.notice("Holder {} does not confirm revocations.", holder)
--- a/camphortray/slot_granter.py
+++ b/camphortray/slot_granter.py
@@ -28,7 +28,7 @@
 from camphortray import tree
 
 # Seconds between passes over due reports and coordinated upstreams.
-TICK_S = 0.02
+PASS_INTERVAL_S = 0.02
 # Maximum seconds by which hosts' state is extended after a stall of this
 # process: enough to read the messages that arrived meanwhile.
 MAX_STALL_EXTENSION_S = 0.25
@@ -288,7 +288,7 @@
             if not self.reports.works and not self.busy():
                 self.wake.clear()
                 await self.wake.wait()
-            stall_s = await timers.sleep(TICK_S)
+            stall_s = await timers.sleep(PASS_INTERVAL_S)
             if stall_s:
                 self.extend_after_stall(stall_s)
             self.report()
--- a/camphortray/slot_scheduler.py
+++ b/camphortray/slot_scheduler.py
@@ -159,11 +159,11 @@
         if not want.online:
             self.items.add(want)
             return self.decide(now)
-        self.queue = [held for held in self.queue if held.id != want.id]
+        self.queue = [queued for queued in self.queue if queued.id != want.id]
         if not self.accounting.table.engines:
             return [Refuse(want, self.retry_after_s(self.hold_s, want))]
         self.queue.append(want)
-        self.queue.sort(key=lambda held: (held.priority, held.asked_at))
+        self.queue.sort(key=lambda queued: (queued.priority, queued.asked_at))
         return self.decide(now)
 
     def done(
@@ -172,7 +172,7 @@
         """End the lease of a request, or remove the request if it waits."""
         self.items.drop(want_id)
         self.accounting.revocations.confirmed(want_id)
-        self.queue = [held for held in self.queue if held.id != want_id]
+        self.queue = [queued for queued in self.queue if queued.id != want_id]
         lease = self.accounting.drop(want_id)
         if lease is None:
             return (
@@ -189,10 +189,10 @@
     def decide(self, now: float) -> list[Decision]:
         """Grant slots, online requests first, and refuse late requests."""
         decisions: list[Decision] = []
-        self.accounting.lapse(now)
-        self.peaks.note(self.accounting.active.online, now)
+        self.accounting.orphan_unconfirmed(now)
+        self.peaks.record(self.accounting.active.online, now)
         self.serve_queue(now, decisions)
-        self.peaks.note(self.accounting.active.online, now)
+        self.peaks.record(self.accounting.active.online, now)
         self.serve_items(now, decisions)
         return decisions
 
--- a/camphortray/suspects.py
+++ b/camphortray/suspects.py
@@ -30,12 +30,13 @@
 from camphortray import upstreams as upstreams_module
 
 LOG = logs.logger("poison")
-CRASH = "poison-crash"
-CLEARED = "poison-cleared"
-QUARANTINE = "poison-quarantine"
+# Kinds of the facts about crashes, cleared suspects and quarantines.
+CRASH_FACT = "poison-crash"
+CLEARED_FACT = "poison-cleared"
+QUARANTINE_FACT = "poison-quarantine"
 # Margin, in seconds, after the time that reports need to reach all hosts.
 SETTLE_MARGIN_S = 0.1
-# Longest duration of a permit.
+# Longest duration of a permit, in seconds.
 MAX_PERMIT_S = 120.0
 # Upstreams whose coordinators one suspect asks for a permit. As suspects on
 # a host ask in turn, this limits the messages however many are waiting.
@@ -140,9 +141,9 @@
         self.requests: dict[str, set[InFlightRequest]] = {}
         self.breaking: dict[str, set[str]] = {}
         self.checks: dict[str, asyncio.Task[bool]] = {}
-        self.members.on_fact(CRASH, self.on_crash)
-        self.members.on_fact(CLEARED, self.on_cleared)
-        self.members.on_fact(QUARANTINE, self.on_quarantine)
+        self.members.on_fact(CRASH_FACT, self.on_crash)
+        self.members.on_fact(CLEARED_FACT, self.on_cleared)
+        self.members.on_fact(QUARANTINE_FACT, self.on_quarantine)
         self.peers.on(ApartAsk, self.on_ask)
         self.peers.on(ApartDone, self.on_done)
 
@@ -224,7 +225,7 @@
         for start in range(0, len(names), FINGERPRINTS_PER_FACT):
             part = names[start : start + FINGERPRINTS_PER_FACT]
             self.members.publish(
-                CRASH,
+                CRASH_FACT,
                 f"{upstream.name}/{self.members.own_name}/{at:.3f}/{start}",
                 {"upstream": upstream.name, "at": at, "suspects": part},
                 keep_s=poison.SUSPECT_S,
@@ -239,19 +240,19 @@
         self.detector.decide(now)
         for name in suspects & set(self.detector.quarantined):
             until = self.detector.quarantined[name]
-            if f"{QUARANTINE} {name}" not in self.members.facts:
+            if f"{QUARANTINE_FACT} {name}" not in self.members.facts:
                 LOG.warning("Request {} is quarantined.", name)
                 self.context.metrics.inc(
                     "requests_quarantined_total",
                     "Requests that this host found to crash upstreams.",
                     {},
                 )
-                self.members.publish(QUARANTINE, name, until, until - now)
+                self.members.publish(QUARANTINE_FACT, name, until, until - now)
 
     def clear(self, fingerprint: str) -> None:
         """Clear a suspect that has got past the point of the crash."""
         self.members.publish(
-            CLEARED, fingerprint, self.clock.wall(), poison.SUSPECT_S
+            CLEARED_FACT, fingerprint, self.clock.wall(), poison.SUSPECT_S
         )
 
     def on_crash(self, fact: membership.Fact) -> None:
--- a/camphortray/upstreams.py
+++ b/camphortray/upstreams.py
@@ -23,18 +23,21 @@
 from camphortray import tree
 
 LOG = logs.logger("upstreams")
+# Kind of the fact that an upstream is leaving, and its lifetime in seconds.
 LEAVING = "upstream-leaving"
-LEAVING_KEEP_S = 600.0
-# Largest rate of load polls by one host.
+LEAVING_TTL_S = 600.0
+# Largest rate of load polls by one host, per second.
 POLLS_PER_S = 4.0
 # Rate of host list reads by the whole fleet; the host that reads a change
 # first publishes it to the others.
 LIST_READS_PER_S = 20.0
-TICK_S = 1.0
-# Pause before an unreachable upstream is probed again, doubled up to the
+# Minimum seconds between reads of the host list, between queries of a leaving
+# upstream, and between rounds of load polls.
+MIN_POLL_INTERVAL_S = 1.0
+# Seconds before an unreachable upstream is probed again, doubled up to the
 # maximum.
-PROBE_S = 0.25
-MAX_PROBE_S = 4.0
+MIN_PROBE_PAUSE_S = 0.25
+MAX_PROBE_PAUSE_S = 4.0
 # Number of hosts that query a leaving upstream for its return.
 QUERYING_HOSTS = 2
 
@@ -135,7 +138,7 @@
     def note_leaving(self, name: str, leaving: bool = True) -> None:
         """Publish to all hosts that an upstream is leaving or back."""
         if (name in self.leaving.marked) != leaving:
-            self.members.publish(LEAVING, name, leaving, LEAVING_KEEP_S)
+            self.members.publish(LEAVING, name, leaving, LEAVING_TTL_S)
 
     def budget(self, service: settings.Service) -> retry.RetryBudget:
         """Return the retry budget of a service."""
@@ -243,7 +246,7 @@
 
     async def until_up(self, upstream: engine.Upstream) -> None:
         """Probe an upstream until it answers, then use it again."""
-        pause_s = PROBE_S
+        pause_s = MIN_PROBE_PAUSE_S
         while True:
             await asyncio.sleep(pause_s * self.context.rng.uniform(0.8, 1.2))
             found = await self.probe_once(upstream)
@@ -252,14 +255,14 @@
                 self.outliers.succeeded(upstream.name)
                 LOG.notice("Upstream {} is reachable again.", upstream.name)
                 return
-            pause_s = min(2 * pause_s, MAX_PROBE_S)
+            pause_s = min(2 * pause_s, MAX_PROBE_PAUSE_S)
 
     async def watch_list(self) -> None:
         """Read the platform's host list periodically."""
         rng = self.context.rng
         while True:
             hosts = len(self.members.live(self.context.program))
-            pause_s = max(TICK_S, hosts / LIST_READS_PER_S)
+            pause_s = max(MIN_POLL_INTERVAL_S, hosts / LIST_READS_PER_S)
             await asyncio.sleep(pause_s * rng.uniform(0.8, 1.2))
             try:
                 lines = await self.backends.hosts.read()
@@ -272,7 +275,7 @@
     async def watch_leaving(self) -> None:
         """Query leaving upstreams periodically for their return."""
         while True:
-            await asyncio.sleep(TICK_S)
+            await asyncio.sleep(MIN_POLL_INTERVAL_S)
             for name in sorted(self.leaving.marked):
                 if self.is_querier(name):
                     await self.check_return(name)
@@ -289,23 +292,25 @@
         """Publish an upstream's return if it takes new work again."""
         state = None
         with contextlib.suppress(errors.CamphortrayError):
-            upstream = self.engines(whole=True).get(name)
+            upstream = self.engines(beyond_subset=True).get(name)
             state = await self.state(upstream) if upstream else None
         if self.leaving.is_back(name, state, self.clock.monotonic()):
             self.note_leaving(name, False)
 
-    def engines(self, whole: bool = False) -> dict[str, engine.Upstream]:
+    def engines(
+        self, beyond_subset: bool = False
+    ) -> dict[str, engine.Upstream]:
         """Return the engines by name.
 
         Args:
-          whole: Whether to include those outside this host's subset.
+          beyond_subset: Whether to include those outside this host's subset.
         """
         return {
             name: upstream
             for service in self.tree.view.services.values()
             if service.get("kind") == "engines"
             for name, upstream in service.upstreams.items()
-            if whole or name in self.subset(service)
+            if beyond_subset or name in self.subset(service)
         }
 
     async def poll_loads(self) -> None:
@@ -313,7 +318,9 @@
         while True:
             upstreams = list(self.engines().values())
             count = max(1, len(upstreams))
-            await asyncio.sleep(max(TICK_S / count, 1 / POLLS_PER_S))
+            await asyncio.sleep(
+                max(MIN_POLL_INTERVAL_S / count, 1 / POLLS_PER_S)
+            )
             if not upstreams:
                 continue
             upstream = upstreams[self.polled % count]
--- a/tests/test_slottable.py
+++ b/tests/test_slottable.py
@@ -170,7 +170,7 @@
     for _ in range(200):
         now += rng.uniform(0.001, 0.1)
         count = rng.randint(0, 9)
-        peaks.note(count, now)
+        peaks.record(count, now)
         steps.append((now, count))
         window_s = rng.uniform(0, onlinepeaks.MAX_WINDOW_S)
         ends = [since for since, _ in steps[1:]] + [float("inf")]
