--- a/camphortray/crash_counter.py
+++ b/camphortray/crash_counter.py
@@ -26,16 +26,16 @@
           name: Unique name of the crash; repeated reports count once.
           now: Current time.
         """
-        held = self.crashes.pop(fingerprint, {})
-        held.setdefault(name, now)
-        self.crashes[fingerprint] = held
+        crashed_at = self.crashes.pop(fingerprint, {})
+        crashed_at.setdefault(name, now)
+        self.crashes[fingerprint] = crashed_at
         while len(self.crashes) > MAX_REQUESTS:
             del self.crashes[next(iter(self.crashes))]
 
     def count(self, fingerprint: str, now: float) -> int:
         """Return the number of recent crashes of a request."""
-        held = self.crashes.get(fingerprint, {})
-        return sum(now - at < CRASH_TTL_S for at in held.values())
+        crashed_at = self.crashes.get(fingerprint, {})
+        return sum(now - at < CRASH_TTL_S for at in crashed_at.values())
 
     def barred(self, fingerprint: str, now: float) -> bool:
         """Return whether a request must not be run again."""
--- a/camphortray/enginehealth.py
+++ b/camphortray/enginehealth.py
@@ -55,16 +55,16 @@
     result can be wrong either way. The outcomes of real requests are not.
 
     Attributes:
-      held: Health of the engines that have failed, by name.
+      by_engine: Health of the engines that have failed, by name.
     """
 
     def __init__(self) -> None:
-        self.held: dict[str, Health] = {}
+        self.by_engine: dict[str, Health] = {}
 
     def keep(self, names: Collection[str]) -> None:
         """Forget engines other than ``names``."""
-        for name in self.held.keys() - set(names):
-            del self.held[name]
+        for name in self.by_engine.keys() - set(names):
+            del self.by_engine[name]
 
     def room(
         self, engine: str, slots: int, now: float, ignore_trial: bool
@@ -77,7 +77,7 @@
           now: Current time.
           ignore_trial: Whether to count all slots of an engine on trial.
         """
-        health = self.held.get(engine)
+        health = self.by_engine.get(engine)
         if health is None:
             return slots
         if now < health.closed_until:
@@ -88,7 +88,7 @@
         """Return the times at which ejected engines are tried again."""
         return [
             health.closed_until
-            for health in self.held.values()
+            for health in self.by_engine.values()
             if health.closed_until > now
         ]
 
@@ -99,9 +99,9 @@
         if outcome is Outcome.NOTHING:
             return
         if outcome is Outcome.GOOD:
-            self.held.pop(engine, None)
+            self.by_engine.pop(engine, None)
             return
-        health = self.held.setdefault(engine, Health())
+        health = self.by_engine.setdefault(engine, Health())
         if outcome is Outcome.FULL:
             health.closed_until = max(health.closed_until, now + FULL_S)
             return
--- a/camphortray/invalid_entries.py
+++ b/camphortray/invalid_entries.py
@@ -14,23 +14,23 @@
     """Invalid entries that have been reported, by key.
 
     Attributes:
-      held: Hash of the value last reported for each key.
+      hashes: Hash of the value last reported for each key.
     """
 
     def __init__(self) -> None:
-        self.held: dict[str, int] = {}
+        self.hashes: dict[str, int] = {}
 
     def add(self, key: str, value: bytes) -> bool:
         """Record an invalid entry; return whether it is new or changed."""
         digest = xxhash.xxh64_intdigest(value)
-        if self.held.get(key) == digest:
+        if self.hashes.get(key) == digest:
             return False
-        self.held.pop(key, None)
-        self.held[key] = digest
-        while len(self.held) > MAX_KEYS:
-            del self.held[next(iter(self.held))]
+        self.hashes.pop(key, None)
+        self.hashes[key] = digest
+        while len(self.hashes) > MAX_KEYS:
+            del self.hashes[next(iter(self.hashes))]
         return True
 
     def discard(self, key: str) -> None:
         """Forget a key, whose entry is valid again."""
-        self.held.pop(key, None)
+        self.hashes.pop(key, None)
--- a/camphortray/slottable.py
+++ b/camphortray/slottable.py
@@ -100,7 +100,7 @@
         zone = self.free.setdefault(self.zones.get(engine, ""), {})
         self.healthy_slots -= self.healthy.pop(engine, 0)
         self.healthy_free -= zone.pop(engine, 0)
-        if engine not in self.engines or engine in self.health.held:
+        if engine not in self.engines or engine in self.health.by_engine:
             return
         slots = self.healthy[engine] = self.scaled(engine)
         self.healthy_slots += slots
@@ -160,7 +160,7 @@
 
     def unhealthy(self) -> list[str]:
         """Return the engines that are ejected or on trial."""
-        return [name for name in self.health.held if name in self.engines]
+        return [name for name in self.health.by_engine if name in self.engines]
 
     def open_slots(self, now: float) -> int:
         """Return the number of slots, used or free, except ejected ones."""
@@ -169,14 +169,14 @@
             for name in self.unhealthy()
         )
 
-    def left(self, engine: str, now: float) -> int:
+    def free_slots_of(self, engine: str, now: float) -> int:
         """Return the number of free slots of an engine."""
         return max(0, self.room(engine, now) - self.used.get(engine, 0))
 
     def free_slots(self, now: float) -> int:
         """Return the number of free slots."""
         return self.healthy_free + sum(
-            self.left(name, now) for name in self.unhealthy()
+            self.free_slots_of(name, now) for name in self.unhealthy()
         )
 
     def best(
@@ -198,7 +198,7 @@
         prefix = prefix if self.experiments.prefix else ""
         zone = zone if self.experiments.zone else ""
         unhealthy_free = {
-            name: self.left(name, now) for name in self.unhealthy()
+            name: self.free_slots_of(name, now) for name in self.unhealthy()
         }
         near = dict(self.free.get(zone, {}))
         far: dict[str, int] = {}
--- a/tests/test_invalid_entries.py
+++ b/tests/test_invalid_entries.py
@@ -150,15 +150,15 @@
 
 
 def test_an_invalid_entry_is_reported_once_per_change():
-    held = invalid_entries.InvalidEntries()
-    reported = [held.add("x", v) for v in (b"a", b"a", b"b", b"b", b"a")]
+    entries = invalid_entries.InvalidEntries()
+    reported = [entries.add("x", v) for v in (b"a", b"a", b"b", b"b", b"a")]
     assert reported == [True, False, True, False, True]
-    held.discard("x")
-    assert held.add("x", b"a")
+    entries.discard("x")
+    assert entries.add("x", b"a")
 
 
 def test_the_number_of_remembered_keys_is_bounded():
-    held = invalid_entries.InvalidEntries()
+    entries = invalid_entries.InvalidEntries()
     for number in range(3 * invalid_entries.MAX_KEYS):
-        held.add(f"x-{number}", b"")
-    assert len(held.held) == invalid_entries.MAX_KEYS
+        entries.add(f"x-{number}", b"")
+    assert len(entries.hashes) == invalid_entries.MAX_KEYS
--- a/tests/test_item_reconciler.py
+++ b/tests/test_item_reconciler.py
@@ -115,7 +115,7 @@
 
 
 async def test_a_result_too_large_to_be_stored_is_rarely_recomputed():
-    # Its item is run until its time is over. A text larger than a record is
+    # Its item is run until its retention ends. A text larger than a record is
     # stored in pieces, but this one exceeds the message between hosts by
     # which results are read.
     store = ledger.MemoryLedger()
--- a/tests/test_lease_reporting.py
+++ b/tests/test_lease_reporting.py
@@ -24,8 +24,8 @@
         asking = asyncio.ensure_future(
             slotclientkit.ask(other_host, "running")
         )
-        held = other_host.part(slot_client.SlotClient)
-        await platform.until(lambda: held.held)
+        client = other_host.part(slot_client.SlotClient)
+        await platform.until(lambda: client.held)
         await coordinator_host.kernel.stop()
         platform.hosts.remove(coordinator_host)
         for engine in platform.engines.values():
@@ -34,24 +34,24 @@
         # The new coordinator learns of the running request from the report.
         await platform.until(
             lambda: (
-                SERVICE in held.served.by_service
+                SERVICE in client.served.by_service
                 and "running.0"
-                in held.served.by_service[SERVICE].scheduler.leases
+                in client.served.by_service[SERVICE].scheduler.leases
             )
         )
         for engine in platform.engines.values():
             engine.go.set()
         assert await asking == 200
         await platform.until(
-            lambda: not held.served.by_service[SERVICE].scheduler.leases
+            lambda: not client.served.by_service[SERVICE].scheduler.leases
         )
 
 
 async def test_the_next_report_replaces_a_lost_lease_end():
     async with platformkit.Platform(hosts=2) as platform:
         coordinator_host, other_host = slotclientkit.roles(platform)
-        held = other_host.part(slot_client.SlotClient)
-        send, dropped = held.links.notify, []
+        client = other_host.part(slot_client.SlotClient)
+        send, dropped = client.links.notify, []
 
         def drop(address, message):
             if isinstance(message, slot_messages.LeaseEnd) and not dropped:
@@ -59,7 +59,7 @@
                 return
             send(address, message)
 
-        held.links.notify = drop
+        client.links.notify = drop
         assert await slotclientkit.ask(other_host, "a") == 200
         assert dropped
         scheduler = (
@@ -140,15 +140,15 @@
             engine.faults = ["wait"] * 4
         delay_replies(coordinator_host, asyncio.Event())
         asking = asyncio.ensure_future(slotclientkit.ask(other_host, "a"))
-        held = other_host.part(slot_client.SlotClient)
-        await platform.until(lambda: held.held)
+        client = other_host.part(slot_client.SlotClient)
+        await platform.until(lambda: client.held)
         third = next(
             h
             for h in platform.hosts
             if h not in (coordinator_host, other_host)
         )
         name = third.part(slot_client.SlotClient).own_name
-        if slotclientkit.coordinator(held) == name:
+        if slotclientkit.coordinator(client) == name:
             await platform.until(
                 lambda: (
                     name in schedulers(platform)
@@ -158,7 +158,7 @@
         for engine in platform.engines.values():
             engine.go.set()
         assert await asking == 200
-        assert not schedulers(platform)[held.own_name].leases
+        assert not schedulers(platform)[client.own_name].leases
         await platform.until(
             lambda: (
                 not any(
@@ -177,8 +177,8 @@
     # slot until the host expired.
     async with platformkit.Platform(hosts=2) as platform:
         coordinator_host, other_host = slotclientkit.roles(platform)
-        held = other_host.part(slot_client.SlotClient)
-        send, dropped = held.links.notify, []
+        client = other_host.part(slot_client.SlotClient)
+        send, dropped = client.links.notify, []
 
         def drop(address, message):
             if isinstance(message, slot_messages.LeaseEnd):
@@ -186,11 +186,11 @@
                 return
             send(address, message)
 
-        held.links.notify = drop
+        client.links.notify = drop
         for engine in platform.engines.values():
             engine.faults = ["wait"] * 4
         asking = asyncio.ensure_future(slotclientkit.ask(other_host, "a"))
-        await platform.until(lambda: held.reports.reported_to)
+        await platform.until(lambda: client.reports.reported_to)
         for engine in platform.engines.values():
             engine.go.set()
         assert await asking == 200
@@ -199,4 +199,4 @@
             coordinator_host.part(slot_client.SlotClient).own_name
         ]
         await platform.until(lambda: not scheduler.leases)
-        assert not held.reports.reported_to
+        assert not client.reports.reported_to
--- a/tests/test_slot_client.py
+++ b/tests/test_slot_client.py
@@ -38,9 +38,9 @@
         await platform.until(lambda: not scheduler.leases)
         assert not scheduler.used
         for host in platform.hosts:
-            held = host.part(slot_client.SlotClient)
-            assert not held.held
-            assert not held.pending
+            client = host.part(slot_client.SlotClient)
+            assert not client.held
+            assert not client.pending
 
 
 async def test_hosts_fail_over_from_an_unresponsive_coordinator():
@@ -56,12 +56,12 @@
         links.handlers[slot_messages.SlotAsk] = unresponsive
         links.handlers[slot_messages.LeaseReport] = unresponsive
         assert await slotclientkit.ask(other_host, "a") == 200
-        held = other_host.part(slot_client.SlotClient)
-        assert set(held.coordinators.excluded) == {
+        client = other_host.part(slot_client.SlotClient)
+        assert set(client.coordinators.excluded) == {
             coordinator_host.part(slot_client.SlotClient).own_name
         }
-        assert slotclientkit.coordinator(held) == held.own_name
-        assert held.share_of(SERVICE) < 1.0
+        assert slotclientkit.coordinator(client) == client.own_name
+        assert client.share_of(SERVICE) < 1.0
         assert await slotclientkit.ask(other_host, "b") == 200
 
 
@@ -70,16 +70,16 @@
     # yet.
     async with platformkit.Platform(hosts=2) as platform:
         _, other_host = slotclientkit.roles(platform)
-        held = other_host.part(slot_client.SlotClient)
-        held.active_config.engines.mark_draining("i-0")
+        client = other_host.part(slot_client.SlotClient)
+        client.active_config.engines.mark_draining("i-0")
         for number in range(8):
-            placed = await held.acquire(
+            placed = await client.acquire(
                 SERVICE,
                 slot_scheduler.SlotRequest(
                     f"w{number}",
-                    held.own_name,
+                    client.own_name,
                     True,
-                    asked_at=held.clock.monotonic(),
+                    asked_at=client.clock.monotonic(),
                 ),
             )
             assert placed.upstream.name == "i-1"
@@ -159,8 +159,8 @@
         assert not part.revoked_early
         second_grant = slot_messages.SlotDecisions(SERVICE, {asked[1]: "i-0"})
         part.on_decisions(second_grant, part.own_name)
-        held = await task
-        assert held.request.id == asked[1] != "i"
+        lease = await task
+        assert lease.request.id == asked[1] != "i"
 
 
 @pytest.mark.parametrize("asker", [2, 3])
--- a/tests/test_slotload.py
+++ b/tests/test_slotload.py
@@ -62,7 +62,7 @@
         self.started_at = {}
         self.asked_at = {}
         self.made_s = {}
-        self.planned_looks = set()
+        self.planned_decisions = set()
         self.result = SimulationResult()
         self.number = 0
 
@@ -88,10 +88,10 @@
             share = len(self.scheduler.leases) / (ENGINES * SLOTS)
             self.result.used += share * (now - before) / SIMULATION_S
             self.step(now, kind, name)
-            look = self.scheduler.next_decision_at(now)
-            if look is not None and look not in self.planned_looks:
-                self.planned_looks.add(look)
-                self.at(max(look, now + 1e-6), "look")
+            next_at = self.scheduler.next_decision_at(now)
+            if next_at is not None and next_at not in self.planned_decisions:
+                self.planned_decisions.add(next_at)
+                self.at(max(next_at, now + 1e-6), "look")
         return self.result
 
     def step(self, now, kind, name):
@@ -194,9 +194,11 @@
     )
     assert scheduler.ask(request, 0.1) == []
     assert scheduler.done("q", good, 0.7) == []
-    look = scheduler.next_decision_at(0.7)
-    assert look == pytest.approx(0.7 + slot_scheduler.HOLD_BACK_FACTOR * 0.05)
-    (decision,) = scheduler.decide(look + 0.001)
+    next_at = scheduler.next_decision_at(0.7)
+    assert next_at == pytest.approx(
+        0.7 + slot_scheduler.HOLD_BACK_FACTOR * 0.05
+    )
+    (decision,) = scheduler.decide(next_at + 0.001)
     assert decision == slot_scheduler.Grant(request, "e")
 
 
