--- a/camphortray/forwarder.py
+++ b/camphortray/forwarder.py
@@ -139,15 +139,19 @@
 
     async def run(self) -> None:
         try:
-            await self.run_in_time()
+            await self.run_until_deadline()
         except errors.Refused:
             if not self.response.status:
                 raise
             # A truncated answer must not look complete to the caller.
             self.response.abort()
 
-    async def run_in_time(self) -> None:
-        """Run until the deadline; raises what ``run`` raises."""
+    async def run_until_deadline(self) -> None:
+        """Run until the deadline.
+
+        Raises:
+          Refused: there is no complete answer; it may have begun.
+        """
         self.admit()
         try:
             async with asyncio.timeout(self.left_s()):
@@ -289,8 +293,8 @@
     def request_for(self, attempt: proxy_exchange.Try) -> engine.EngineRequest:
         if not self.ran:
             # The key may have been revoked, or moved to another workspace,
-            # during the wait. A request that may have run already is not
-            # checked again.
+            # during the wait. A request that may have run already goes on
+            # for the workspace of its first run.
             self.admit()
         return self.request.for_engine(
             now_of(self.parts),
