--- a/camphortray/jobcalls.py
+++ b/camphortray/jobcalls.py
@@ -132,8 +132,8 @@
         epoch = shard.owner.epoch
         work = self.forwarder.pass_on(call, self.owner_address(shard), read)
         task = loop.create_task(work)
-        doubt = loop.call_later(DOUBT_S, shard.owner.doubt)
-        change = loop.create_task(shard.epoch_after(epoch))
+        suspect = loop.call_later(DOUBT_S, shard.owner.suspect)
+        change = loop.create_task(shard.wait_for_epoch_change(epoch))
         try:
             await asyncio.wait(
                 {task, change}, return_when=asyncio.FIRST_COMPLETED
@@ -150,10 +150,10 @@
             task.result()
         except errors.Refused as refusal:
             if refusal.code == "owner_unreachable":
-                shard.owner.doubt()
+                shard.owner.suspect()
             raise
         finally:
-            doubt.cancel()
+            suspect.cancel()
             for pending in (task, change):
                 pending.cancel()
 
--- a/camphortray/jobshard.py
+++ b/camphortray/jobshard.py
@@ -119,7 +119,7 @@
                 break
             self.cache.put(self.journal.stream, record.offset, record.body)
 
-    async def epoch_after(self, epoch: int) -> None:
+    async def wait_for_epoch_change(self, epoch: int) -> None:
         """Wait until ``epoch`` is no longer the current epoch."""
         changed = asyncio.Event()
 
--- a/camphortray/ownership.py
+++ b/camphortray/ownership.py
@@ -164,9 +164,9 @@
         """Evaluate the policy again, e.g. because the roster has changed."""
         self.changed.set()
 
-    def doubt(self) -> None:
+    def suspect(self) -> None:
         """Challenge the owner, which failed to serve a request."""
-        self.policy.doubt(self.epoch)
+        self.policy.suspect(self.epoch)
         self.changed.set()
 
     async def run(self) -> None:
--- a/camphortray/partition_owner.py
+++ b/camphortray/partition_owner.py
@@ -240,7 +240,7 @@
         while True:
             write = self.writer.put(make, size, RESULT_S)
             try:
-                await self.writer.outcome(write, RESULT_S)
+                await self.writer.wait_for_outcome(write, RESULT_S)
                 return
             except errors.LogRefused as error:
                 if self.lost or self.writer.closed:
@@ -379,7 +379,7 @@
         # Its caller may have gone, or got an error that nothing is known, when
         # it turns out that the job goes on.
         write.done.add_done_callback(lambda _: self.end_known(name))
-        await self.writer.outcome(write, WRITE_S)
+        await self.writer.wait_for_outcome(write, WRITE_S)
 
     def end_known(self, name: str) -> None:
         """Go on with a job whose end was refused.
--- a/camphortray/partwriter.py
+++ b/camphortray/partwriter.py
@@ -130,7 +130,7 @@
             self.check_size(record)
         size = sum(len(r.key) + len(r.value) + 8 for r in records)
         write = self.put(lambda before: records, size, timeout_s)
-        await self.outcome(write, timeout_s)
+        await self.wait_for_outcome(write, timeout_s)
 
     def check_size(self, record: ledgers.LedgerRecord) -> None:
         """Check that a record is within the store's size limits.
@@ -169,7 +169,7 @@
         self.has_queued.set()
         return write
 
-    async def outcome(self, write: Write, timeout_s: float) -> None:
+    async def wait_for_outcome(self, write: Write, timeout_s: float) -> None:
         """Wait for the outcome of a write; raises the errors of ``write``."""
         # Leaves the append loop time to refuse an expired write itself.
         slack_s = 2 * MAX_RETRY_PAUSE_S
--- a/camphortray/takeover.py
+++ b/camphortray/takeover.py
@@ -108,7 +108,7 @@
         self.challenge = (records.NO_EPOCH, 0.0)
         self.answered_at = -self.timing.challenge_interval_s
 
-    def doubt(self, epoch: int) -> None:
+    def suspect(self, epoch: int) -> None:
         """Challenge the owner of an epoch although it appears live."""
         self.suspected_epoch = epoch
 
--- a/tests/faultcells.py
+++ b/tests/faultcells.py
@@ -160,7 +160,7 @@
         for name, host in self.cluster.hosts.items():
             if name != owner and "batch" in host.kernels:
                 for shard in self.cluster.shards(name).shards:
-                    shard.owner.doubt()
+                    shard.owner.suspect()
 
     async def wake_owner(self):
         """Let a paused owner go on, as if nothing had been."""
--- a/tests/test_takeover.py
+++ b/tests/test_takeover.py
@@ -89,7 +89,7 @@
         ).kind
 
     assert step(-1, 0.0) == ""
-    policy.doubt(3)
+    policy.suspect(3)
     assert step(-1, 0.1) == "challenge"
     assert step(4, 0.2) == ""
     assert [step(-1, now) for now in (0.3, 30.0)] == ["", ""]
