--- a/camphortray/partwriter.py
+++ b/camphortray/partwriter.py
@@ -22,7 +22,7 @@
 MAX_RETRY_PAUSE_S = 0.5
 # The time-out of an append is this multiple of the mean answer time, within
 # the bounds below, and doubles after each missing answer. The store answers
-# within milliseconds and 50 times slower under load; a lost answer detected
+# within milliseconds, or 50 times slower when slow; a lost answer detected
 # only after a second would make a job's caller time out.
 ANSWER_TIMEOUT_FACTOR = 10.0
 MIN_ANSWER_TIMEOUT_S = 0.1
@@ -198,7 +198,7 @@
         except (Exception, asyncio.CancelledError) as error:
             if tasks.cancelled():
                 raise
-            # An owner without a writer would store nothing and wait for ever.
+            # An owner without a writer would store nothing and wait forever.
             LOG.error(
                 "Writer of partition {} stopped by an unexpected error: {}",
                 self.part,
@@ -278,7 +278,7 @@
             if tasks.cancelled():
                 raise
             # The store may have the records. The append is repeated, but
-            # not for ever, as an unexpected error may be permanent.
+            # not forever, as an unexpected error may be permanent.
             self.unexpected_errors += 1
             if self.unexpected_errors > MAX_UNEXPECTED_ERRORS:
                 raise
