--- a/camphortray/partition_owner.py
+++ b/camphortray/partition_owner.py
@@ -265,7 +265,7 @@
         while True:
             write = self.writer.put(make, size, RESULT_TIMEOUT_S)
             try:
-                await self.writer.outcome(write, RESULT_TIMEOUT_S)
+                await self.writer.wait_for_outcome(write, RESULT_TIMEOUT_S)
                 return
             except errors.LogRefused as error:
                 if self.lost or self.writer.closed:
@@ -420,7 +420,7 @@
         # The outcome may come after the caller has disconnected or was told
         # that it is unknown; if it is a refusal, the job must go on.
         write.done.add_done_callback(lambda _: self.on_end_done(name))
-        await self.writer.outcome(write, WRITE_TIMEOUT_S)
+        await self.writer.wait_for_outcome(write, WRITE_TIMEOUT_S)
 
     def on_end_done(self, name: str) -> None:
         """Resume a job if the store refused to end it.
