--- a/camphortray/isolation.py
+++ b/camphortray/isolation.py
@@ -38,7 +38,7 @@
         self.suspects = context.part(suspects_module.Suspects)
         self.busy: collections.Counter[str] = collections.Counter()
         self.reserved: set[str] = set()
-        self.left = asyncio.Event()
+        self.item_left = asyncio.Event()
 
     @contextlib.contextmanager
     def count(self, upstream: str) -> Iterator[None]:
@@ -48,7 +48,7 @@
             yield
         finally:
             self.busy[upstream] -= 1
-            self.left.set()
+            self.item_left.set()
 
     def verdict(
         self, service: settings.Service, path: str, item: jobqueue.Item
@@ -71,8 +71,9 @@
         """Reserve an upstream for a suspect.
 
         No other suspect of the fleet and no other item of this host runs
-        there meanwhile. If it crashed with two of them in flight, they would
-        be indistinguishable, and an innocent item could be taken for poison.
+        there meanwhile. If the upstream crashed with two of them in flight,
+        they would be indistinguishable, and an innocent item could count as
+        poison.
 
         Yields:
           Whether the permit was granted.
@@ -118,12 +119,12 @@
             yield
         finally:
             self.reserved.discard(upstream)
-            self.left.set()
+            self.item_left.set()
 
     async def wait_left(self) -> None:
         """Wait until an item leaves any upstream."""
-        self.left.clear()
-        await self.left.wait()
+        self.item_left.clear()
+        await self.item_left.wait()
 
     def counts_against(
         self, item: jobqueue.Item, upstream: str, name: str
--- a/camphortray/onlinepeaks.py
+++ b/camphortray/onlinepeaks.py
@@ -38,8 +38,9 @@
         """Record the count from now on."""
         since = now
         while self.steps and self.steps[-1][1] <= count:
-            # Not above the new count, so it is no longer a maximum. The higher
-            # count before it ended when it began.
+            # This step is not above the new count, so it is no longer a
+            # maximum. The new step starts where this one did, which is when
+            # the higher count before it ended.
             since = self.steps.pop()[0]
         self.steps.append((since, count))
         while len(self.steps) > 1 and self.steps[1][0] <= now - MAX_WINDOW_S:
--- a/camphortray/poison.py
+++ b/camphortray/poison.py
@@ -141,11 +141,11 @@
         until = self.quarantined.get(name, 0.0)
         if until > now:
             return Verdict(Standing.QUARANTINED, until)
-        held = [c for c in self.open_crashes() if name in c.suspects]
-        if not held:
+        involved = [c for c in self.open_crashes() if name in c.suspects]
+        if not involved:
             return FREE
         return Verdict(
-            Standing.ISOLATED, max(crash.at for crash in held) + SETTLE_S
+            Standing.ISOLATED, max(crash.at for crash in involved) + SETTLE_S
         )
 
     def open_crashes(self) -> list[Crash]:
--- a/camphortray/slottable.py
+++ b/camphortray/slottable.py
@@ -16,8 +16,8 @@
 from camphortray import config as configs
 from camphortray import enginehealth
 
-# Smallest number of engines in a share: one may be ejected as unhealthy,
-# and a failed request is retried on another.
+# Minimum number of engines that a small share uses: one may be ejected as
+# unhealthy, and a failed request is retried on another.
 MIN_SINGLE_ENGINES = 3
 
 
@@ -41,7 +41,8 @@
       experiments: Mechanisms in use; ablation experiments disable some.
       salt: Differs between hosts, so that each grants slots of different
         engines where its share is less than one slot of each engine.
-      single: Engines of which one slot each is granted with such a share.
+      single: Engines of which one slot each is granted if the share is less
+        than one slot of each engine.
     """
 
     def __init__(
@@ -118,7 +119,7 @@
         return slots
 
     def choose_single(self) -> frozenset[str]:
-        """Return the engines of a share with less than a slot of each."""
+        """Return the engines to use if the share is below a slot of each."""
         if self._share == 1.0:
             return frozenset()
         count = math.ceil(sum(self.engines.values()) * self._share)
--- a/camphortray/suspects.py
+++ b/camphortray/suspects.py
@@ -38,8 +38,8 @@
 SETTLE_MARGIN_S = 0.1
 # Longest duration of a permit, in seconds.
 MAX_PERMIT_S = 120.0
-# Upstreams whose coordinators one suspect asks for a permit. As suspects on
-# a host ask in turn, this limits the messages however many are waiting.
+# Upstreams whose coordinators one suspect asks for a permit. As the suspects
+# on a host ask one after another, this limits the messages for any number.
 MAX_ASKED = 3
 # Most fingerprints in one fact, as the size of a fact is limited.
 FINGERPRINTS_PER_FACT = 128
