--- a/camphortray/forwarder.py
+++ b/camphortray/forwarder.py
@@ -419,7 +419,7 @@
         self.answer = Answer(stream.status, body, stream.headers)
         if stream.status in RETRYABLE_STATUSES and self.retryable:
             raise errors.UpstreamRefused(
-                "the engine failed the request",
+                "failed there",
                 status=stream.status,
                 ran=True,
                 step="run",
@@ -427,7 +427,7 @@
             )
         if self.response.status:
             raise errors.UpstreamBroken(
-                f"status {stream.status} in answer to a resumed stream",
+                f"status {stream.status} to a stream that goes on",
                 ran=True,
                 step="resume",
                 peer=attempt.upstream.name,
