--- a/camphortray/completing.py
+++ b/camphortray/completing.py
@@ -176,12 +176,12 @@
 
     # Requests to and answers from the upstream.
 
-    def request_for(self, held: proxy_exchange.Try) -> engine.EngineRequest:
+    def request_for(self, attempt: proxy_exchange.Try) -> engine.EngineRequest:
         if not self.ran:
             # The caller's key may have been revoked while it was queued.
             self.call.check()
         position = self.position
-        self.first_s = self.first_silence_s(held.upstream)
+        self.first_s = self.first_silence_s(attempt.upstream)
         return engine.EngineRequest(
             self.try_name(),
             self.call.request.path,
@@ -212,17 +212,17 @@
         return float(self.service.get("limit.silence_s"))
 
     async def pass_whole(
-        self, stream: engine.EngineStream, held: proxy_exchange.Try
+        self, stream: engine.EngineStream, attempt: proxy_exchange.Try
     ) -> None:
         body = await engine.read_all(stream, self.first_limit_s())
-        check_complete(body, held.upstream)
+        check_complete(body, attempt.upstream)
         headers = [("content-type", stream.content_type)]
         self.response.send(stream.status, body, headers)
 
     # Retry and resumption.
 
     def handle_failure(
-        self, held: proxy_exchange.Try, error: errors.UpstreamError
+        self, attempt: proxy_exchange.Try, error: errors.UpstreamError
     ) -> bool:
         LOG.warning("Attempt {} failed: {}", self.tries, error)
         self.parts.metrics.inc(
