--- a/camphortray/partition_manager.py
+++ b/camphortray/partition_manager.py
@@ -26,7 +26,7 @@
 OWNER = "job-owner"
 # Time without a renewal after which the group removes this host. The store
 # accepts no less than one second.
-KEEP_S = 1.2
+MEMBERSHIP_TTL_S = 1.2
 # Interval between renewals of the membership.
 JOIN_EVERY_S = 0.35
 # Interval at which a host that is no candidate checks its rank.
@@ -88,7 +88,7 @@
         self.owner_query: asyncio.Task[None] | None = None
         self.backlog = backlog_gossip.BacklogGossip(context, self.held)
         self.handover = handover.Handover(context, self.held)
-        self.renewed_at = -KEEP_S
+        self.renewed_at = -MEMBERSHIP_TTL_S
         self.candidates = owner_candidates.OwnerCandidates(
             self.members.own_name, self.ledger.parts, self.clock.monotonic()
         )
@@ -161,13 +161,13 @@
         started_at = self.clock.monotonic()
         try:
             found = await self.ledger.join(
-                self.member, self.generation, KEEP_S
+                self.member, self.generation, MEMBERSHIP_TTL_S
             )
         except errors.LogError as error:
             LOG.debug("Could not join the group: {}", error)
             return
         self.joined = True
-        gap = started_at - self.renewed_at > KEEP_S
+        gap = started_at - self.renewed_at > MEMBERSHIP_TTL_S
         before, self.generation = (
             self.generation,
             max(self.generation, found.generation),
@@ -298,12 +298,12 @@
         started_at = self.clock.monotonic()
         try:
             await self.ledger.join(
-                self.member, self.applied_generation, KEEP_S
+                self.member, self.applied_generation, MEMBERSHIP_TTL_S
             )
         except errors.LogError as error:
             LOG.debug("Could not renew the membership: {}", error)
             return
-        if started_at - self.renewed_at <= KEEP_S:
+        if started_at - self.renewed_at <= MEMBERSHIP_TTL_S:
             # Otherwise the group may have removed this host once more, which
             # the next call to join must detect.
             self.renewed_at = started_at
@@ -411,7 +411,7 @@
 
         Another host may then own partitions that this one still holds.
         """
-        return self.clock.monotonic() - self.renewed_at > KEEP_S
+        return self.clock.monotonic() - self.renewed_at > MEMBERSHIP_TTL_S
 
     async def drain(self) -> None:
         """Release all partitions, so that other hosts take over at once."""
--- a/tests/test_grouprig.py
+++ b/tests/test_grouprig.py
@@ -142,7 +142,7 @@
     await group.settle()
     loop = asyncio.get_running_loop()
     host = group.holder(0)
-    silent_until = loop.time() + 8 * partition_manager.KEEP_S
+    silent_until = loop.time() + 8 * partition_manager.MEMBERSHIP_TTL_S
     joined = []
     join, set_epoch = group.ledger.join, group.ledger.set_epoch
 
@@ -163,8 +163,8 @@
         group.ledger.deal_again(2 * hosts)
         await asyncio.sleep(2.0)
     gaps = [b - a for a, b in zip(joined, joined[1:], strict=False)]
-    assert max(gaps) < partition_manager.KEEP_S
+    assert max(gaps) < partition_manager.MEMBERSHIP_TTL_S
     assert host.owners.member in group.ledger.told
-    await asyncio.sleep(8 * partition_manager.KEEP_S)
+    await asyncio.sleep(8 * partition_manager.MEMBERSHIP_TTL_S)
     await group.settle()
     await group.check({})
--- a/tests/test_ways_out.py
+++ b/tests/test_ways_out.py
@@ -342,7 +342,7 @@
         )
     # The store was away for longer than the host's time as a member, which
     # pauses meanwhile; back, it refuses for a moment what comes too often.
-    await asyncio.sleep(partition_manager.KEEP_S + 1.0)
+    await asyncio.sleep(partition_manager.MEMBERSHIP_TTL_S + 1.0)
     held.refuse_epochs = partition_manager.CONFIRM_TRIES
     await owners.join()
     return held, owners
