--- a/camphortray/partition_manager.py
+++ b/camphortray/partition_manager.py
@@ -28,7 +28,7 @@
 # accepts no less than one second.
 MEMBERSHIP_TTL_S = 1.2
 # Interval between renewals of the membership.
-JOIN_EVERY_S = 0.35
+JOIN_INTERVAL_S = 0.35
 # Interval at which a host that is no candidate checks its rank.
 RANK_CHECK_INTERVAL_S = 1.0
 FACT_TTL_S = 600.0
@@ -129,7 +129,7 @@
             elif self.joined:
                 await self.withdraw()
             fast = offers or not self.members.introduced
-            pause_s = JOIN_EVERY_S if fast else RANK_CHECK_INTERVAL_S
+            pause_s = JOIN_INTERVAL_S if fast else RANK_CHECK_INTERVAL_S
             with contextlib.suppress(TimeoutError):
                 async with asyncio.timeout(pause_s):
                     await self.unowned.wait()
--- a/tests/test_ways_out.py
+++ b/tests/test_ways_out.py
@@ -369,7 +369,7 @@
                     break
                 except errors.LogError:
                     pass
-            await asyncio.sleep(partition_manager.JOIN_EVERY_S)
+            await asyncio.sleep(partition_manager.JOIN_INTERVAL_S)
     keys = [record.key for record in held.held[JOBS, 0].records]
     assert "j/new/0" in keys
     owners.stop()
