--- a/camphortray/handover.py
+++ b/camphortray/handover.py
@@ -43,7 +43,7 @@
     owner does not wait for it.
 
     Attributes:
-      behind: Partial output that this host has to send, by partition.
+      saved: Partial output that this host has to send, by partition.
       owners: Owners of the partitions that this host owns, by partition.
     """
 
@@ -57,22 +57,22 @@
         self.links = context.part(peers.Peers)
         self.owners = owners
         self.enabled = context.config.experiments.handover
-        self.behind: dict[int, SavedProgress] = {}
+        self.saved: dict[int, SavedProgress] = {}
 
     def start(self) -> None:
         """Start to receive partial output from other hosts."""
         self.links.on(jobmessages.ProgressUpdate, self.on_progress)
 
-    def leave(self, owner: partition_owner.PartitionOwner) -> None:
+    def save(self, owner: partition_owner.PartitionOwner) -> None:
         """Save the partial output of running items before an owner stops."""
         jobs = owner.items.progress()
         if jobs and self.enabled:
             now = self.clock.monotonic()
-            self.behind[owner.part] = SavedProgress(now, jobs)
+            self.saved[owner.part] = SavedProgress(now, jobs)
 
-    def give(self, part: int, name: str) -> None:
+    def send(self, part: int, name: str) -> None:
         """Send saved partial output to the member that owns a partition."""
-        saved = self.behind.pop(part, None)
+        saved = self.saved.pop(part, None)
         now = self.clock.monotonic()
         if saved is None or now - saved.at > KEEP_S:
             return
--- a/camphortray/partition_manager.py
+++ b/camphortray/partition_manager.py
@@ -222,7 +222,7 @@
 
     def stop_owner(self, owner: partition_owner.PartitionOwner) -> None:
         """Stop an owner and save the partial output of its running items."""
-        self.handover.leave(owner)
+        self.handover.save(owner)
         owner.stop()
 
     async def confirm_all(self, changed: bool) -> None:
@@ -324,10 +324,10 @@
 
     def on_lost(self, owner: partition_owner.PartitionOwner) -> None:
         """Remove a partition that another host has taken over."""
-        self.handover.leave(owner)
+        self.handover.save(owner)
         claim = self.known.get(owner.part)
         if claim is not None and claim.epoch > owner.epoch:
-            self.handover.give(owner.part, claim.name)
+            self.handover.send(owner.part, claim.name)
         if self.held.get(owner.part) is owner:
             del self.held[owner.part]
 
@@ -342,7 +342,7 @@
         if claim is None or claim[:2] != (owner.epoch, self.members.own_name):
             key = f"{part}/{self.members.own_name}"
             self.members.publish(OWNER, key, owner.epoch, FACT_TTL_S)
-            self.handover.give(part, self.members.own_name)
+            self.handover.send(part, self.members.own_name)
 
     def on_owner_fact(self, fact: membership.Fact) -> None:
         """Apply a published claim to own a partition."""
@@ -364,7 +364,7 @@
             del self.held[part]
             self.stop_owner(owner)
         if newest and name != self.members.own_name:
-            self.handover.give(part, name)
+            self.handover.send(part, name)
 
     async def wait_for_owner(self, pause_s: float) -> None:
         """Wait before a call is retried; query the owners if that is due.
@@ -420,7 +420,7 @@
         self.draining = True
         for owner in list(self.held.values()):
             try:
-                self.handover.leave(owner)
+                self.handover.save(owner)
                 await owner.close()
             except Exception as error:
                 # The remaining partitions must still be released.
--- a/tests/test_experiments.py
+++ b/tests/test_experiments.py
@@ -144,8 +144,8 @@
 def hand_over(switches):
     held = handover.Handover(context_of(switches), {})
     items = types.SimpleNamespace(progress=lambda: {"job": ["progress"]})
-    held.leave(types.SimpleNamespace(part=3, items=items))
-    return list(held.behind)
+    held.save(types.SimpleNamespace(part=3, items=items))
+    return list(held.saved)
 
 
 def peers_word(switches):
