--- a/camphortray/partition_records.py
+++ b/camphortray/partition_records.py
@@ -33,7 +33,7 @@
 RESULT_OVERHEAD_BYTES = 128
 # Size limit of a result's text: the owner sends it to other hosts in one
 # message, which holds about a megabyte.
-TEXT_BYTES = 900_000
+MAX_TEXT_BYTES = 900_000
 
 
 class State(enum.Enum):
--- a/camphortray/partition_state.py
+++ b/camphortray/partition_state.py
@@ -132,8 +132,8 @@
     )
     if len(result.text) <= text_bytes:
         return (partition_records.result_record(job.id, position, (result,)),)
-    if len(result.text) > partition_records.TEXT_BYTES or text_bytes <= 0:
-        limit = partition_records.TEXT_BYTES
+    if len(result.text) > partition_records.MAX_TEXT_BYTES or text_bytes <= 0:
+        limit = partition_records.MAX_TEXT_BYTES
         raise errors.RecordError(
             f"result of {len(result.text)} bytes exceeds the limit of {limit}"
             " bytes",
--- a/tests/test_item_reconciler.py
+++ b/tests/test_item_reconciler.py
@@ -119,7 +119,7 @@
     # stored in pieces, but this one exceeds the message between hosts by
     # which results are read.
     store = ledger.MemoryLedger()
-    size = partition_records.TEXT_BYTES + 1
+    size = partition_records.MAX_TEXT_BYTES + 1
 
     def large():
         return hostkit.Answer([b"id: 1\ndata: " + b"x" * size + b"\n\n"])
--- a/tests/test_partition_state.py
+++ b/tests/test_partition_state.py
@@ -97,13 +97,13 @@
     assert incomplete.jobs["j1"].results == []
     assert incomplete.drop_gaps() == ["j1"]
     # The largest text that is stored fits in a message to another host.
-    texts = (("j1-1", DONE, b"x" * partition_records.TEXT_BYTES),)
+    texts = (("j1-1", DONE, b"x" * partition_records.MAX_TEXT_BYTES),)
     messages.encode(
         messages.Envelope(1, True, jobmessages.PageReply(3, 0, texts))
     )
     with pytest.raises(errors.RecordError):
         beyond = partition_records.Result(
-            1, DONE, b"x" * (partition_records.TEXT_BYTES + 1)
+            1, DONE, b"x" * (partition_records.MAX_TEXT_BYTES + 1)
         )
         partition_state.next_result(job, (), beyond, 262_144)
 
