--- a/camphortray/owner_candidates.py
+++ b/camphortray/owner_candidates.py
@@ -38,7 +38,7 @@
         """Record that partitions were found without an owner."""
         self.unowned_at = now
 
-    def offers(
+    def should_join(
         self, names: Iterable[str], known: bool, member: bool, now: float
     ) -> bool:
         """Return whether this host is to be a member of the group.
--- a/camphortray/partition_manager.py
+++ b/camphortray/partition_manager.py
@@ -123,24 +123,24 @@
     async def keep_membership(self) -> None:
         """Stay in the group as long as this host is to be a member."""
         while not self.draining:
-            offers = self.offers()
-            if offers:
+            should_join = self.should_join()
+            if should_join:
                 await self.join()
             elif self.joined:
                 await self.withdraw()
-            fast = offers or not self.members.introduced
+            fast = should_join or not self.members.introduced
             pause_s = JOIN_INTERVAL_S if fast else RANK_CHECK_INTERVAL_S
             with contextlib.suppress(TimeoutError):
                 async with asyncio.timeout(pause_s):
                     await self.unowned.wait()
             self.unowned.clear()
 
-    def offers(self) -> bool:
+    def should_join(self) -> bool:
         """Return whether this host is to be a member of the group now."""
         if self.held:
             # Partitions are not moved only because the rank has changed.
             return True
-        return self.candidates.offers(
+        return self.candidates.should_join(
             self.members.possible("host"),
             self.members.introduced,
             self.joined,
--- a/tests/platformkit.py
+++ b/tests/platformkit.py
@@ -450,7 +450,7 @@
         ]
         return (
             all(h.ready for h in self.hosts)
-            and all(d.owners.joined == d.owners.offers() for d in routers)
+            and all(d.owners.joined == d.owners.should_join() for d in routers)
             and {d.owners.generation for d in routers if d.owners.joined}
             == {self.store.held.generation}
             and owned == set(range(self.store.held.parts))
--- a/tests/test_owner_candidates.py
+++ b/tests/test_owner_candidates.py
@@ -18,7 +18,7 @@
     candidates = set()
     for name in names:
         own = owner_candidates.OwnerCandidates(name, partitions, 0.0)
-        if own.offers(names, known, name in member, now):
+        if own.should_join(names, known, name in member, now):
             candidates.add(name)
     return candidates
 
@@ -76,12 +76,12 @@
     names = {f"h{n}/host" for n in range(195)}
     last = min(names - candidates_of(names, 8))
     own = owner_candidates.OwnerCandidates(last, 8, 0.0)
-    assert not own.offers(names, True, False, LATER)
+    assert not own.should_join(names, True, False, LATER)
     own.note_unowned(LATER)
-    assert own.offers(names, True, False, LATER)
+    assert own.should_join(names, True, False, LATER)
     until = LATER + owner_candidates.UNOWNED_S
-    assert own.offers(names, True, True, until - 0.1)
-    assert not own.offers(names, True, True, until)
+    assert own.should_join(names, True, True, until - 0.1)
+    assert not own.should_join(names, True, True, until)
 
 
 async def test_a_host_that_is_no_candidate_does_not_call_the_store(
