--- a/camphortray/partition_manager.py
+++ b/camphortray/partition_manager.py
@@ -26,9 +26,9 @@
 OWNER = "job-owner"
 # Time without a renewal after which the group removes this host. The store
 # accepts no less than one second.
-KEEP_S = 1.2
+MEMBERSHIP_TTL_S = 1.2
 # Interval between renewals of the membership.
-JOIN_EVERY_S = 0.35
+JOIN_INTERVAL_S = 0.35
 # Interval at which a host that is no candidate checks its rank.
 RANK_CHECK_INTERVAL_S = 1.0
 FACT_TTL_S = 600.0
@@ -88,7 +88,7 @@
         self.owner_query: asyncio.Task[None] | None = None
         self.backlog = backlog_gossip.BacklogGossip(context, self.held)
         self.handover = handover.Handover(context, self.held)
-        self.renewed_at = -KEEP_S
+        self.renewed_at = -MEMBERSHIP_TTL_S
         self.candidates = owner_candidates.OwnerCandidates(
             self.members.own_name, self.ledger.parts, self.clock.monotonic()
         )
@@ -123,24 +123,24 @@
     async def keep_membership(self) -> None:
         """Stay in the group as long as this host is to be a member."""
         while not self.draining:
-            offers = self.offers()
-            if offers:
+            should_join = self.should_join()
+            if should_join:
                 await self.join()
             elif self.joined:
                 await self.withdraw()
-            fast = offers or not self.members.introduced
-            pause_s = JOIN_EVERY_S if fast else RANK_CHECK_INTERVAL_S
+            fast = should_join or not self.members.introduced
+            pause_s = JOIN_INTERVAL_S if fast else RANK_CHECK_INTERVAL_S
             with contextlib.suppress(TimeoutError):
                 async with asyncio.timeout(pause_s):
                     await self.unowned.wait()
             self.unowned.clear()
 
-    def offers(self) -> bool:
+    def should_join(self) -> bool:
         """Return whether this host is to be a member of the group now."""
         if self.held:
             # Partitions are not moved only because the rank has changed.
             return True
-        return self.candidates.offers(
+        return self.candidates.should_join(
             self.members.possible("host"),
             self.members.introduced,
             self.joined,
@@ -161,13 +161,13 @@
         started_at = self.clock.monotonic()
         try:
             found = await self.ledger.join(
-                self.member, self.generation, KEEP_S
+                self.member, self.generation, MEMBERSHIP_TTL_S
             )
         except errors.LogError as error:
             LOG.debug("Could not join the group: {}", error)
             return
         self.joined = True
-        gap = started_at - self.renewed_at > KEEP_S
+        gap = started_at - self.renewed_at > MEMBERSHIP_TTL_S
         before, self.generation = (
             self.generation,
             max(self.generation, found.generation),
@@ -222,7 +222,7 @@
 
     def stop_owner(self, owner: partition_owner.PartitionOwner) -> None:
         """Stop an owner and save the partial output of its running items."""
-        self.handover.leave(owner)
+        self.handover.save(owner)
         owner.stop()
 
     async def confirm_all(self, changed: bool) -> None:
@@ -298,12 +298,12 @@
         started_at = self.clock.monotonic()
         try:
             await self.ledger.join(
-                self.member, self.applied_generation, KEEP_S
+                self.member, self.applied_generation, MEMBERSHIP_TTL_S
             )
         except errors.LogError as error:
             LOG.debug("Could not renew the membership: {}", error)
             return
-        if started_at - self.renewed_at <= KEEP_S:
+        if started_at - self.renewed_at <= MEMBERSHIP_TTL_S:
             # Otherwise the group may have removed this host once more, which
             # the next call to join must detect.
             self.renewed_at = started_at
@@ -324,10 +324,10 @@
 
     def on_lost(self, owner: partition_owner.PartitionOwner) -> None:
         """Remove a partition that another host has taken over."""
-        self.handover.leave(owner)
+        self.handover.save(owner)
         claim = self.known.get(owner.part)
         if claim is not None and claim.epoch > owner.epoch:
-            self.handover.give(owner.part, claim.name)
+            self.handover.send(owner.part, claim.name)
         if self.held.get(owner.part) is owner:
             del self.held[owner.part]
 
@@ -342,7 +342,7 @@
         if claim is None or claim[:2] != (owner.epoch, self.members.own_name):
             key = f"{part}/{self.members.own_name}"
             self.members.publish(OWNER, key, owner.epoch, FACT_TTL_S)
-            self.handover.give(part, self.members.own_name)
+            self.handover.send(part, self.members.own_name)
 
     def on_owner_fact(self, fact: membership.Fact) -> None:
         """Apply a published claim to own a partition."""
@@ -364,7 +364,7 @@
             del self.held[part]
             self.stop_owner(owner)
         if newest and name != self.members.own_name:
-            self.handover.give(part, name)
+            self.handover.send(part, name)
 
     async def wait_for_owner(self, pause_s: float) -> None:
         """Wait before a call is retried; query the owners if that is due.
@@ -411,7 +411,7 @@
 
         Another host may then own partitions that this one still holds.
         """
-        return self.clock.monotonic() - self.renewed_at > KEEP_S
+        return self.clock.monotonic() - self.renewed_at > MEMBERSHIP_TTL_S
 
     async def drain(self) -> None:
         """Release all partitions, so that other hosts take over at once."""
@@ -420,7 +420,7 @@
         self.draining = True
         for owner in list(self.held.values()):
             try:
-                self.handover.leave(owner)
+                self.handover.save(owner)
                 await owner.close()
             except Exception as error:
                 # The remaining partitions must still be released.
--- a/tests/test_ways_out.py
+++ b/tests/test_ways_out.py
@@ -342,7 +342,7 @@
         )
     # The store was away for longer than the host's time as a member, which
     # pauses meanwhile; back, it refuses for a moment what comes too often.
-    await asyncio.sleep(partition_manager.KEEP_S + 1.0)
+    await asyncio.sleep(partition_manager.MEMBERSHIP_TTL_S + 1.0)
     held.refuse_epochs = partition_manager.CONFIRM_TRIES
     await owners.join()
     return held, owners
@@ -369,7 +369,7 @@
                     break
                 except errors.LogError:
                     pass
-            await asyncio.sleep(partition_manager.JOIN_EVERY_S)
+            await asyncio.sleep(partition_manager.JOIN_INTERVAL_S)
     keys = [record.key for record in held.held[JOBS, 0].records]
     assert "j/new/0" in keys
     owners.stop()
