--- a/tests/test_owner_cache.py
+++ b/tests/test_owner_cache.py
@@ -1,10 +1,8 @@
 """Tests of a host whose information on the owner of a partition is stale.
 
-Callers got 503, "partition 0 changes hands", to a job's POST, although the
-store and both hosts were up and the partition had a ready owner. The host that
-received the POST had lost the partition and waited for the next owner's claim
-for its whole limit of three seconds; next to 30 busy processes the claim took
-longer. It could have queried the store.
+A host that had lost a partition waited 3 s for the next owner's claim, which
+came later on a busy machine. Job submissions were refused with 503 although
+the partition had a ready owner, which the host could have read in the store.
 """
 
 import asyncio
