--- a/camphortray/item_reconciler.py
+++ b/camphortray/item_reconciler.py
@@ -59,7 +59,7 @@
       stalled: Items found stalled by the last check, with the time of their
         last activity.
       executions: Number of item tasks started, for unique execution ids.
-      closed: Whether the partition has been given up.
+      closed: Whether this owner has stopped running items.
     """
 
     def __init__(
@@ -136,7 +136,7 @@
     def on_task_done(self, key: Key, task: "asyncio.Task[None]") -> None:
         """Queue the item of a finished task again if it is still open."""
         if self.running.get(key) is not task:
-            # The task was stalled and its item has been given to another.
+            # The task had stalled, and its item has been queued again.
             return
         del self.running[key]
         self.works.pop(key, None)
@@ -165,7 +165,7 @@
             work.resume_from(progress)
         delay_s = FIRST_ERROR_DELAY_S
         # The second condition ends a stalled task whose item has meanwhile
-        # been given to another task.
+        # been queued again for another task.
         while self.is_open(key) and self.works.get(key) is work:
             try:
                 result = await work.run()
@@ -209,7 +209,7 @@
         )
 
     def count_rerun(self, cause: str) -> None:
-        """Count an item that is run again for a reason other than its own."""
+        """Count an item run again after an error, a stall or a lost task."""
         self.parts.metrics.inc(
             "camphortray_items_taken_up",
             "Items run again that would have been left lying, by cause.",
@@ -243,9 +243,8 @@
     def stages(self) -> Iterator[item_stall_detector.ItemStage]:
         """Yield the stage of each open item.
 
-        Yields nothing once the partition has been given up: this owner may
-        remain registered while its tasks end, but its open items are the
-        next owner's to run.
+        Yields nothing once this owner has stopped: it may remain registered
+        while its tasks end, but its open items are the next owner's to run.
         """
         if self.closed:
             return
--- a/tests/test_item_reconciler.py
+++ b/tests/test_item_reconciler.py
@@ -36,12 +36,12 @@
     await owner.close()
 
 
-@pytest.mark.parametrize("spoilt", [b"1\x00", b"\xe9"])
-async def test_an_event_id_that_cannot_be_sent_back_is_rejected(spoilt):
+@pytest.mark.parametrize("invalid_id", [b"1\x00", b"\xe9"])
+async def test_an_event_id_that_cannot_be_sent_back_is_rejected(invalid_id):
     # An engine sends an event whose id is not valid in a header, and its
     # stream breaks off. To resume, the id would be sent back in a header,
     # which the HTTP client refuses to send.
-    answer = [b"id: " + spoilt + b"\ndata: d1\n\n", hostkit.BROKEN]
+    answer = [b"id: " + invalid_id + b"\ndata: d1\n\n", hostkit.BROKEN]
     owner = await owner_of(
         ledger.MemoryLedger(), [hostkit.Answer(answer), good()]
     )
@@ -185,9 +185,9 @@
 
 
 async def test_an_item_taken_from_a_stalled_task_is_not_run_by_both():
-    # A read never returns and ignores its cancellation. The item is given to
-    # another task; when the first task finally continues, it must not run
-    # the item as well.
+    # A read never returns and ignores its cancellation. The item is queued
+    # again for another task; when the first task finally continues, it must
+    # not run the item as well.
     stuck, back = hostkit.Answer([]), asyncio.Event()
 
     async def read(timeout_s):
