--- a/camphortray/item_retry.py
+++ b/camphortray/item_retry.py
@@ -11,8 +11,8 @@
 PERMANENT_STATUSES = frozenset({422})
 # Statuses that mean that the engine failed at the item.
 ENGINE_FAILURE_STATUSES = frozenset({500})
-# Crashes in a row after which the item counts as their cause, and the
-# delay before it is run again, in seconds: it is retried, but rarely.
+# Consecutive crashes after which the item is taken to be their cause, and the
+# delay before each further retry, in seconds.
 MAX_CRASHES = 3
 CRASH_DELAY_S = 15.0
 # Pause after a failed try, in seconds; doubled with each up to the maximum.
@@ -43,15 +43,16 @@
 
     Attributes:
       engine_failures: Tries that ended with a failure status of the engine.
-      crashes: Tries in a row that broke off before their first event.
-      fruitless: Failed tries since the last one that brought an event.
+      crashes: Consecutive tries cut off before their first event.
+      failures_since_event: Failed tries since the last try that received an
+        event.
       avoid: Engine of the last failed try, or empty.
       not_before: Time before which the item is not retried, monotonic.
     """
 
     engine_failures: int = 0
     crashes: int = 0
-    fruitless: int = 0
+    failures_since_event: int = 0
     avoid: str = ""
     not_before: float = 0.0
 
@@ -72,11 +73,13 @@
       upstream: Name of the engine.
       now: Present time, monotonic.
       max_failures: Failures of engines after which the item is abandoned.
-      new_events: Number of events that the try brought.
+      new_events: Number of events received in the try.
     """
     state.avoid = upstream
-    state.fruitless += 1
-    pause_s = min(MAX_PAUSE_S, PAUSE_S * 2 ** min(state.fruitless, 8))
+    state.failures_since_event += 1
+    pause_s = min(
+        MAX_PAUSE_S, PAUSE_S * 2 ** min(state.failures_since_event, 8)
+    )
     state.not_before = now + pause_s
     if isinstance(error, errors.UpstreamRefused):
         if error.status in PERMANENT_STATUSES:
@@ -104,8 +107,8 @@
     Sums are kept instead of a mean of rates: a run that is stopped after its
     first event says little about the time between events. If it had the weight
     of a complete run, ten such runs in a row would make items of five seconds
-    look like items of twenty. They would count as late and go after all
-    others.
+    look like items of twenty. They would count as late and be
+    scheduled after all others.
 
     Attributes:
       seconds: Weighted sum of the measured time.
@@ -135,7 +138,8 @@
       event_rate: Time from one event to the next.
       mean_start_s: Mean seconds to the first event of an item run from its
         beginning.
-      resume_rate: Time that each event made before adds to that.
+      resume_rate: Additional time to the first event for each event made by
+        earlier runs.
     """
 
     def __init__(self) -> None:
@@ -181,7 +185,7 @@
         return self.mean_start_s + made * self.resume_rate.mean_s
 
     def made_s(self, made: int) -> float:
-        """Return the estimated seconds that some events took to make."""
+        """Return the estimated seconds needed to make some events."""
         return made * self.event_rate.mean_s
 
     def left_s(self, events: int) -> float:
--- a/camphortray/itemwork.py
+++ b/camphortray/itemwork.py
@@ -171,7 +171,7 @@
         """Return whether the item has waited beyond the limit of its stage.
 
         The wait for a route, and that of a result for the store, have no
-        limit, as either may be unavailable for any time.
+        limit, as either may be unavailable for any length of time.
         """
         limit_s = {
             Stage.PAUSE: STALL_MARGIN_S,
@@ -255,8 +255,8 @@
         avoid = {self.retries.avoid} - {""}
         request = slot_scheduler.SlotRequest(
             # The execution id keeps requests apart: a previous owner, or this
-            # one before a refused end of the job, may have asked for the same
-            # item, and late messages about that must not match.
+            # one before a refused end of the job, may have requested a slot
+            # for the same item, and late messages about that must not match.
             f"{self.job.id}.{self.index}.{self.execution_id}.{self.number}",
             parts.slots.own_name,
             False,
@@ -287,7 +287,7 @@
             return
         self.reader.resume_after(progress.last, len(progress.text))
         self.text = list(progress.text)
-        # The present run is behind; the next one starts from here.
+        # The present run has less output; the next one resumes after this.
         self.revoke()
 
     def revoke(self) -> None:
@@ -352,7 +352,7 @@
                 new_events, self.last_event_at - self.first_event_at
             )
             if new_events > 0:
-                self.retries.fruitless = 0
+                self.retries.failures_since_event = 0
 
     def failed(
         self,
@@ -419,7 +419,7 @@
         )
         started_at, made = self.parts.clock.monotonic(), self.reader.count
         # After a run without an event no pooled connection is used.
-        fresh = self.retries.fruitless > 0
+        fresh = self.retries.failures_since_event > 0
         stream = await plugin.open(upstream, request, fresh)
         try:
             if stream.status // 100 != 2:
--- a/tests/test_item_retry.py
+++ b/tests/test_item_retry.py
@@ -20,7 +20,7 @@
 
 
 @pytest.mark.parametrize(
-    ("tries", "fate"),
+    ("tries", "expected"),
     [
         ([status(422)], ABANDON),
         ([status(500)], RETRY),
@@ -33,12 +33,12 @@
         ([status(500), BROKEN, status(500), status(500)], ABANDON),
     ],
 )
-def test_an_item_is_abandoned_only_for_failures_of_its_own(tries, fate):
+def test_an_item_is_abandoned_only_for_failures_of_its_own(tries, expected):
     state = item_retry.RetryState()
     found = RETRY
     for error in tries:
         found = item_retry.decide(state, error, "e", 0.0, 3)
-    assert found is fate
+    assert found is expected
 
 
 def test_an_item_that_crashes_engines_is_rarely_retried():
@@ -51,19 +51,19 @@
 
 
 @pytest.mark.parametrize(
-    ("error", "brought"),
+    ("error", "received"),
     [
         (errors.UpstreamTimeout("silent", ran=True), 0),
         (BROKEN, 1),
     ],
 )
-def test_which_failures_do_not_count_as_crashes(error, brought):
+def test_which_failures_do_not_count_as_crashes(error, received):
     # A suspended host sees time-outs everywhere, and engines break off in the
     # middle of answers. Neither means that the item crashes engines; counted
     # as crashes, they delayed it by 15 s.
     state = item_retry.RetryState()
     for _ in range(10):
-        item_retry.decide(state, error, "e", 10.0, 3, brought)
+        item_retry.decide(state, error, "e", 10.0, 3, received)
     assert state.not_before <= 10.0 + item_retry.MAX_PAUSE_S
 
 
@@ -106,7 +106,7 @@
 def test_runs_that_were_stopped_at_once_do_not_raise_the_estimate():
     # On a host that has just started, each item is preempted after a few
     # events in a burst. The estimate must stay at four seconds an item;
-    # otherwise they are queued behind all others as too late.
+    # otherwise they count as late and are scheduled last.
     estimator = item_retry.DurationEstimator()
     for _ in range(30):
         estimator.started(0, 0.25)
--- a/tests/test_itemwork.py
+++ b/tests/test_itemwork.py
@@ -188,7 +188,7 @@
 
 async def test_an_item_whose_route_moved_while_it_waited_goes_elsewhere():
     # The item waits for a slot of one service while the operator points the
-    # route to another. Run at the old one it would run on the old version.
+    # route to another. At the old service it would run on the old version.
     moved = dataclasses.replace(
         hostkit.BATCH_ROUTE, targets=(routemap.Target("s2"),)
     )
@@ -264,9 +264,9 @@
     age_s, outcome
 ):
     # Engines end the runs of an old job's items once their time limit has
-    # passed. Counted as failures, three in a row ejected an engine for seconds
-    # and limited it to one request at a time after that, and so one engine
-    # after the other: items waited while engines were idle.
+    # passed. When these counted as failures, three in a row ejected an engine
+    # for seconds and then limited it to one request at a time. This happened
+    # to one engine after another: items waited while engines were idle.
     work = work_of(
         [
             hostkit.Answer([hostkit.event(1), hostkit.BROKEN]),
