--- a/camphortray/item_deadline.py
+++ b/camphortray/item_deadline.py
@@ -50,9 +50,9 @@
     def run_limit_reached(self, route: routemap.Route) -> bool:
         """Return whether engines may be ending runs for their time limit.
 
-        A run that ends then is no failure of its engine. Counted as one, the
-        items of an old job ejected one engine after the other while other
-        items waited.
+        A run that ends then is no failure of its engine. When it counted as
+        one, the items of an old job caused one engine after another to be
+        ejected while other items waited.
         """
         return bool(route.keep_s) and (
             self.age_s() > route.keep_s + RETENTION_SLACK_S - RUN_LIMIT_SLACK_S
