--- a/camphortray/itempolicy.py
+++ b/camphortray/itempolicy.py
@@ -8,8 +8,8 @@
 from camphortray import errors
 from camphortray import jobqueue
 
-# Crashes after which an item counts as their cause: the first among other
-# items, the second alone on the upstream.
+# Crashes after which an item is taken to be their cause: the first while
+# other items run on the upstream, the second while it runs there alone.
 MAX_CRASHES = 2
 # First and longest pause before a retry, in seconds.
 FIRST_PAUSE_S = 0.2
