--- a/tests/test_item_stall_detector.py
+++ b/tests/test_item_stall_detector.py
@@ -25,7 +25,7 @@
 
 
 def silent():
-    """Return an answer that brings no data and never ends."""
+    """Return an answer that yields no data and never ends."""
     answer = hostkit.Answer([])
     answer.read = hang
     return answer
@@ -62,11 +62,10 @@
     await owner.close()
 
 
-async def test_a_partition_that_is_given_up_reports_no_items():
-    # A draining host logged accepted items as unassigned.
-    # Its owner had stopped and cleared its queue but stayed registered while
-    # its tasks ended, and the gauges were updated in that moment. The next
-    # owner runs these items.
+async def test_a_stopped_owner_reports_no_items():
+    # A draining host logged accepted items as unassigned: its owner had
+    # cleared its queue but stayed registered while its tasks ended, and the
+    # gauges were updated meanwhile. The next owner runs these items.
     owned = test_partition_owner.Owned(
         ledger.MemoryLedger(), [silent() for _ in "ab"]
     )
