--- a/camphortray/backlog_gossip.py
+++ b/camphortray/backlog_gossip.py
@@ -24,8 +24,7 @@
 FACT_TTL_S = 600.0
 # Seconds between counts of waiting tokens.
 COUNT_INTERVAL_S = 0.25
-# Time for the host that keeps the reservations of a route to answer, in
-# seconds.
+# Time limit for the reply to a quota request, in seconds.
 QUOTA_TIMEOUT_S = 0.3
 
 
@@ -105,7 +104,7 @@
     async def on_quota(
         self, sender: peers.Sender, ask: jobmessages.QuotaAsk
     ) -> jobmessages.QuotaReply:
-        """Answer an owner that asks for a reservation."""
+        """Answer an owner's request for a reservation."""
         return jobmessages.QuotaReply(self.reserve(ask))
 
     def reserve(self, ask: jobmessages.QuotaAsk) -> bool:
