--- a/tests/test_faultmatrix.py
+++ b/tests/test_faultmatrix.py
@@ -17,8 +17,8 @@
 
 SINGLES = [(name,) for name in faultcells.FAULTS]
 SAMPLED_PAIRS = random.Random(5).sample(faultcells.PAIRS, 6)
-# Cells that run at the same time. They use the real clock: five at once need
-# three quarters of a core, and with a third of a core, beside two busy
+# Maximum number of concurrent cells. They use the real clock: five at once
+# need three quarters of a core, and with a third of a core, next to two busy
 # processes, jobs did not end in time.
 MAX_CONCURRENT_CELLS = 2
 
@@ -34,8 +34,8 @@
     ids=["first", "rest", "pairs"],
 )
 async def test_no_cell_shows_a_fault(cells):
-    # Callers send, resend, cancel and read jobs while the log, engines
-    # and hosts fail. In any order of events, each accepted item must have one
+    # Callers send, resend, cancel and read jobs while the log, engines and
+    # hosts fail. In any order of events, each accepted item must have one
     # result that never changes. No refused job may run, no cancelled job may
     # get another result, and no non-idempotent item may run twice.
     semaphore = asyncio.Semaphore(MAX_CONCURRENT_CELLS)
@@ -54,7 +54,7 @@
 
 
 @pytest.mark.parametrize(
-    ("names", "owner", "name", "off", "seen"),
+    ("names", "owner", "name", "replacement", "seen"),
     [
         (
             ("host-lost",),
@@ -73,9 +73,9 @@
     ],
 )
 async def test_disabling_a_safeguard_is_detected(
-    monkeypatch, names, owner, name, off, seen
+    monkeypatch, names, owner, name, replacement, seen
 ):
-    monkeypatch.setattr(owner, name, off)
+    monkeypatch.setattr(owner, name, replacement)
     monkeypatch.setattr(jobcluster, "WAIT_S", 4.0)
     try:
         faults = await faultcells.run_cell(names)
