--- a/camphortray/jobapi.py
+++ b/camphortray/jobapi.py
@@ -1,6 +1,6 @@
-"""The batch role: the shards of jobs on this host and the calls on them."""
+"""Serves ``/v1/jobs``, the HTTP API for jobs, in the batch role."""
 
-__all__ = ["JobApi", "result_line", "show"]
+__all__ = ["JobApi", "job_object", "result_line"]
 
 from typing import Any
 from typing import ClassVar
@@ -28,7 +28,7 @@
 
 @kernel.PARTS.register("batch")
 class JobApi(kernel.Part):
-    """Calls on jobs; those that need the owner are handed to it."""
+    """Serves calls on jobs; some are forwarded to the owner of a shard."""
 
     name: ClassVar[str] = "jobapi"
     requires: ClassVar[tuple[str, ...]] = ("jobs", "jobcalls", "routes")
@@ -51,7 +51,7 @@
         return cls(context)
 
     async def submit(self, call: web.Call) -> None:
-        """Take a job: JSON lines, all or nothing."""
+        """Accept a job of JSON lines, all or none of them."""
         params = jobparams.JobParams.from_request(
             call.request.query, call.request.headers, self.tree.view.services
         )
@@ -62,7 +62,7 @@
             return
         self.calls.check_log(shard)
         known = job in shard.fold.jobs
-        taker = job_writer.JobWriter(
+        writer = job_writer.JobWriter(
             shard,
             job,
             self.context.config.streams,
@@ -71,7 +71,7 @@
             store=not known,
         )
         limit = self.context.config.batch.max_job_bytes
-        taken = await taker.take(call.request.iter_body(limit))
+        taken = await writer.take(call.request.iter_body(limit))
         await self.accept(call, shard, self.record(call, job, params, taken))
 
     def record(
@@ -81,10 +81,10 @@
         params: jobparams.JobParams,
         taken: job_writer.Taken,
     ) -> jobs.JobAccept:
-        """Return the record that accepts a job."""
+        """Build the record that accepts a job."""
         now = self.context.clock.wall()
-        same = f"{params.service.name}\0{params.path}\0{params.idempotent}"
-        digest = taken.digest + xxhash.xxh3_64_hexdigest(same.encode())
+        options = f"{params.service.name}\0{params.path}\0{params.idempotent}"
+        digest = taken.digest + xxhash.xxh3_64_hexdigest(options.encode())
         return jobs.JobAccept(
             job,
             taken.upload,
@@ -104,20 +104,20 @@
     async def accept(
         self, call: web.Call, shard: jobshard.JobShard, accept: jobs.JobAccept
     ) -> None:
-        """Write the acceptance and tell the caller once it is read back."""
-        valid, held = await self.calls.accept(shard, accept)
-        if held.accept.digest != accept.digest:
+        """Append the acceptance and answer once it has been read back."""
+        created, job = await self.calls.accept(shard, accept)
+        if job.accept.digest != accept.digest:
             raise errors.Refused(
                 409,
                 "other_job",
                 "another job has this key",
                 field="Idempotency-Key",
             )
-        call.response.send_json(201 if valid else 200, self.show(held))
+        call.response.send_json(201 if created else 200, self.describe(job))
 
-    def show(self, job: jobs.Job) -> dict[str, Any]:
-        """Return what a caller is told of a job."""
-        return show(job, self.context.clock.wall())
+    def describe(self, job: jobs.Job) -> dict[str, Any]:
+        """Return the JSON object that describes a job now."""
+        return job_object(job, self.context.clock.wall())
 
     async def list(self, call: web.Call) -> None:
         """List the caller's jobs, newest first."""
@@ -125,55 +125,65 @@
             self.calls.jobs_of(call.caller),
             key=lambda job: (-job.accept.taken_at, job.accept.job),
         )
-        call.response.send_json(200, {"jobs": [self.show(j) for j in found]})
+        call.response.send_json(
+            200, {"jobs": [self.describe(j) for j in found]}
+        )
 
     async def status(self, call: web.Call) -> None:
-        """Tell where a job stands."""
+        """Return the status of a job."""
         _, job = await self.calls.find(call.params["job"], call.caller)
-        call.response.send_json(200, self.show(job))
+        call.response.send_json(200, self.describe(job))
 
     async def results(self, call: web.Call) -> None:
-        """Stream the results that are there."""
+        """Stream the results that a job has so far."""
         shard, job = await self.calls.find(call.params["job"], call.caller)
         query = call.request.query
         reader = results.ResultReader(shard, job)
-        found = reader.read(query.get("order", "item"), query.get("after", ""))
+        entries = reader.read(
+            query.get("order", "item"), query.get("after", "")
+        )
         ended = job.status is not jobs.JobStatus.RUNNING
         await stream(
             call,
-            found,
+            entries,
             result_line,
             [JSON_LINES, ("camphortray-ended", str(ended).lower())],
         )
 
     async def cancel(self, call: web.Call) -> None:
-        """Stop a job."""
+        """Cancel a job."""
         shard, job = await self.calls.find(call.params["job"], call.caller)
         if await self.calls.cancel(call, shard, job):
-            call.response.send_json(200, self.show(job))
+            call.response.send_json(200, self.describe(job))
 
 
 async def stream(
     call: web.Call,
-    found: Any,
-    line_of: Any,
+    entries: Any,
+    format_line: Any,
     headers: list[tuple[str, str]],
 ) -> None:
-    """Answer with a line for each result.
+    """Answer with one line for each entry.
+
+    Args:
+      call: The call.
+      entries: Pairs of cursor and result, as an asynchronous iterator.
+      format_line: Returns the line of a result and its cursor.
+      headers: Headers of the answer.
 
     Raises:
-      Refused: the log is away and nothing has been sent yet.
+      Refused: the log is unavailable and nothing has been sent yet.
     """
     response = call.response
     try:
-        async for cursor, result in found:
+        async for cursor, result in entries:
             if not response.status:
                 response.start(200, headers)
-            response.write(line_of(result, cursor))
+            response.write(format_line(result, cursor))
             await response.flush()
     except errors.LogError as error:
         if response.status:
-            # Cut off, so that it cannot be taken for the whole.
+            # Aborts, so that the caller cannot take a part for the whole.
             response.abort()
             return
         raise job_writer.no_log(error) from error
@@ -182,8 +192,8 @@
     response.end()
 
 
-def show(job: jobs.Job, now: float) -> dict[str, Any]:
-    """Return what a caller is told of a job.
+def job_object(job: jobs.Job, now: float) -> dict[str, Any]:
+    """Return the JSON object that describes a job.
 
     Args:
       job: The job.
@@ -207,17 +217,21 @@
 
 
 def time_left(job: jobs.Job) -> float | None:
-    """Return the seconds a job still takes at its speed so far."""
+    """Estimate the seconds until a job ends, from its mean rate so far.
+
+    Returns:
+      None while no item has ended.
+    """
     if job.status is not jobs.JobStatus.RUNNING:
         return 0.0
     if not job.ended:
         return None
-    pace_s = (job.last_at - job.accept.taken_at) / job.ended
-    return max(0.0, round(pace_s * (job.accept.count - job.ended), 3))
+    item_s = (job.last_at - job.accept.taken_at) / job.ended
+    return max(0.0, round(item_s * (job.accept.count - job.ended), 3))
 
 
 def result_line(result: jobs.ItemResult, cursor: str) -> bytes:
-    """Return one line of results."""
+    """Format one result as a JSON line."""
     fields: dict[str, Any] = {
         "item": result.item,
         "cursor": cursor,
@@ -225,5 +239,5 @@
     }
     if result.custom_id:
         fields["custom_id"] = result.custom_id
-    head = msgspec.json.encode(fields)
-    return head[:-1] + b',"body":' + (result.body or b"null") + b"}\n"
+    prefix = msgspec.json.encode(fields)
+    return prefix[:-1] + b',"body":' + (result.body or b"null") + b"}\n"
