--- a/camphortray/jobcalls.py
+++ b/camphortray/jobcalls.py
@@ -1,4 +1,4 @@
-"""What a call on jobs needs of a shard: finding, handing on, writing."""
+"""Finds jobs and files, forwards calls to owners and appends records."""
 
 __all__ = ["JobCalls"]
 
@@ -20,17 +20,17 @@
 from camphortray import web
 
 LOG = logs.logger("jobs")
-# An owner that has not answered a call after this many seconds is asked
-# for a sign of life in the log; one that is busy gives it and goes on.
-DOUBT_S = 1.0
+# An owner that has not answered a call after this many seconds is challenged
+# in the log; one that is only busy answers the challenge and stays the owner.
+OWNER_SUSPECT_S = 1.0
 
 
 @kernel.PARTS.register("batch")
 class JobCalls(kernel.Part):
-    """Finds jobs and files, and sees that the owner does what it must.
+    """Shared operations of the API calls on jobs, files and batches.
 
     Attributes:
-      part: All shards of this host.
+      shards: All shards of this host.
     """
 
     name: ClassVar[str] = "jobcalls"
@@ -38,7 +38,7 @@
 
     def __init__(self, context: kernel.Context) -> None:
         self.context = context
-        self.part = context.part(shardset.ShardSet)
+        self.shards = context.part(shardset.ShardSet)
         self.members = context.part(membership.Membership)
         self.forwarder = forward.Forwarder(context.config)
 
@@ -51,7 +51,7 @@
 
     def jobs_of(self, workspace: str) -> Iterator[jobs.Job]:
         """Yield the jobs of a workspace."""
-        for shard in self.part.shards:
+        for shard in self.shards.shards:
             for job in shard.fold.jobs.values():
                 if job.accept.workspace == workspace:
                     yield job
@@ -59,12 +59,16 @@
     async def find(
         self, name: str, workspace: str
     ) -> tuple[jobshard.JobShard, jobs.Job]:
-        """Return a job of a workspace; it may just have been accepted.
+        """Return a job of a workspace.
+
+        A job that is not known here may just have been accepted elsewhere,
+        so the shard's stream is read to its end first.
 
         Raises:
-          Refused: there is none, or its keeping time is over.
+          Refused: there is none, its retention is over, or the log is
+            unavailable.
         """
-        shard = self.part.shard_of(name)
+        shard = self.shards.shard_of(name)
         if name not in shard.fold.jobs:
             await self.catch_up(shard)
         job = shard.fold.jobs.get(name)
@@ -80,7 +84,7 @@
         """Read to the end of a shard's stream.
 
         Raises:
-          Refused: the log is away, so that nothing can be said.
+          Refused: the log is unavailable, so the shard's state is unknown.
         """
         try:
             await shard.catch_up()
@@ -88,17 +92,21 @@
             raise job_writer.no_log(error) from error
 
     def check_log(self, shard: jobshard.JobShard) -> None:
-        """Refuse new work at once while the log is away."""
+        """Check that the log is available before new work is accepted.
+
+        Raises:
+          Refused: the log is down.
+        """
         if shard.journal.down:
             raise errors.Refused(
                 503, "log_down", "the log does not answer", retry_after=5
             )
 
     def owner_address(self, shard: jobshard.JobShard) -> configs.Address:
-        """Return where the owner of a shard serves HTTP.
+        """Return the HTTP address of the owner of a shard.
 
         Raises:
-          Refused: there is none, or it is not known.
+          Refused: no other host owns it, or its address is not known.
         """
         owner = shard.fold.ownership.owner
         member = self.members.members.get(owner.name) if owner else None
@@ -112,17 +120,18 @@
         self,
         call: web.Call,
         shard: jobshard.JobShard,
-        read: bytes | None = None,
+        body: bytes | None = None,
     ) -> None:
-        """Hand a call to the owner of a shard.
+        """Forward a call to the owner of a shard and return its answer.
 
         Args:
           call: The call.
-          shard: Whose owner is to answer.
-          read: Body of the call, if that has been read.
+          shard: The shard.
+          body: Body of the call, if it has been read.
 
         Raises:
-          Refused: it was handed on before, or the owner is not there.
+          Refused: the call was forwarded before, the owner is unknown or
+            unreachable, or the shard changes owners meanwhile.
         """
         if forward.FORWARDED_HEADER in call.request.headers:
             raise errors.Refused(
@@ -130,16 +139,18 @@
             )
         loop = asyncio.get_running_loop()
         epoch = shard.owner.epoch
-        work = self.forwarder.pass_on(call, self.owner_address(shard), read)
-        task = loop.create_task(work)
-        suspect = loop.call_later(DOUBT_S, shard.owner.suspect)
-        change = loop.create_task(shard.wait_for_epoch_change(epoch))
+        forwarding = self.forwarder.pass_on(
+            call, self.owner_address(shard), body
+        )
+        answer = loop.create_task(forwarding)
+        suspicion = loop.call_later(OWNER_SUSPECT_S, shard.owner.suspect)
+        epoch_change = loop.create_task(shard.wait_for_epoch_change(epoch))
         try:
             await asyncio.wait(
-                {task, change}, return_when=asyncio.FIRST_COMPLETED
+                {answer, epoch_change}, return_when=asyncio.FIRST_COMPLETED
             )
-            if not task.done():
-                # Its new owner knows whether it was done.
+            if not answer.done():
+                # Only the new owner can tell whether the call took effect.
                 raise errors.Refused(
                     503,
                     "owner_changed",
@@ -147,24 +158,24 @@
                     ran="unknown",
                     retry_after=1,
                 )
-            task.result()
+            answer.result()
         except errors.Refused as refusal:
             if refusal.code == "owner_unreachable":
                 shard.owner.suspect()
             raise
         finally:
-            suspect.cancel()
-            for pending in (task, change):
+            suspicion.cancel()
+            for pending in (answer, epoch_change):
                 pending.cancel()
 
     def owned_shard(self) -> jobshard.JobShard | None:
-        """Return a shard owned here, any of them, or None."""
-        owned = [shard for shard in self.part.shards if shard.owner.owned]
+        """Return a random shard that this host owns, or None."""
+        owned = [shard for shard in self.shards.shards if shard.owner.owned]
         return self.context.rng.choice(owned) if owned else None
 
     def random_shard(self) -> jobshard.JobShard:
-        """Return any shard."""
-        return self.context.rng.choice(self.part.shards)
+        """Return a random shard."""
+        return self.context.rng.choice(self.shards.shards)
 
     async def find_file(
         self, text: str, workspace: str
@@ -172,26 +183,26 @@
         """Return an input file of a workspace.
 
         Raises:
-          Refused: there is none.
+          Refused: there is none, or the log is unavailable.
         """
         name = text.removeprefix("file-")
-        shard = self.part.shard_of(name)
+        shard = self.shards.shard_of(name)
         if name not in shard.fold.files:
             await self.catch_up(shard)
-        held = shard.fold.files.get(name)
-        if held is None or held.accept.workspace != workspace:
+        file = shard.fold.files.get(name)
+        if file is None or file.accept.workspace != workspace:
             raise errors.Refused(
                 404, "unknown_file", f"no file {text!r}", field="file"
             )
-        return shard, held
+        return shard, file
 
     async def write(
         self, shard: jobshard.JobShard, kind: str, body: Any
     ) -> None:
-        """Append a record that must count.
+        """Append a record and check that it is valid once read back.
 
         Raises:
-          Refused: it does not, or that is not known.
+          Refused: it is void, or the log did not confirm it.
         """
         try:
             outcome = await shard.append(kind, body)
@@ -212,31 +223,31 @@
     async def accept(
         self, shard: jobshard.JobShard, accept: jobs.JobAccept
     ) -> tuple[bool, jobs.Job]:
-        """Write an acceptance.
+        """Append the acceptance of a job, unless the job is known.
 
         Returns:
-          Whether it is new, and the job under its id.
+          Whether the job is new, and the job with that id.
 
         Raises:
-          Refused: it was not accepted, or that is not known.
+          Refused: the job was not accepted, or the log did not confirm it.
         """
         name = accept.job
-        held = shard.fold.jobs.get(name)
-        if held is not None:
-            return False, held
+        job = shard.fold.jobs.get(name)
+        if job is not None:
+            return False, job
         try:
             outcome = await shard.append(jobs.ACCEPT, accept)
         except errors.LogRefused as error:
             raise job_writer.no_log(error) from error
         except errors.LogError as error:
-            # It may still land; then the job runs, and a resend with the
-            # same key finds it.
+            # The log may still store the record; then the job runs, and a
+            # resend with the same key finds it.
             raise errors.Refused(
                 503, "log_down", str(error), ran="unknown", retry_after=5
             ) from error
-        held = shard.fold.jobs.get(name)
-        if held is not None:
-            return outcome.valid, held
+        job = shard.fold.jobs.get(name)
+        if job is not None:
+            return outcome.valid, job
         if name in shard.fold.forgotten:
             raise errors.Refused(410, "gone", "the job's keeping time is over")
         raise errors.Refused(
@@ -251,17 +262,17 @@
     ) -> bool:
         """Cancel a job; return False if the owner answered the call.
 
-        The owner stops dispatch before the cancel is read back. Where
-        it is out of reach the record alone stops it, as any host may
-        write one.
+        The owner stops dispatch before the cancel record is read back. If
+        the owner cannot be reached, this host appends the record, as any
+        host may.
 
         Raises:
-          Refused: the cancel was not read back.
+          Refused: the log did not confirm the cancel record.
         """
         name = job.accept.job
         if job.status is not jobs.JobStatus.RUNNING:
             return True
-        run = self.part.runs.get(shard.number)
+        run = self.shards.runs.get(shard.number)
         try:
             if run is not None:
                 await run.cancel(name)
@@ -271,7 +282,7 @@
                     await self.to_owner(call, shard)
                     return False
                 except errors.Refused as error:
-                    LOG.info("Owner not told of the cancel: {}", error)
+                    LOG.info("Cancel not forwarded to the owner: {}", error)
             body = jobs.JobCancel(name, self.context.clock.wall())
             await shard.append(jobs.CANCEL, body)
         except errors.LogError as error:
--- a/tests/test_jobapi.py
+++ b/tests/test_jobapi.py
@@ -524,7 +524,7 @@
     # The owner is paused with a job in its hands. The host that handed it
     # on challenges it, takes over and says that it does not know; a resend
     # is accepted, and what the old owner wakes up with counts for nothing.
-    monkeypatch.setattr(jobcalls, "DOUBT_S", 0.1)
+    monkeypatch.setattr(jobcalls, "OWNER_SUSPECT_S", 0.1)
     async with jobcluster.JobCluster(hosts=2) as cluster:
         name = jobs.job_id(clusters.WORKSPACE, "k")
         owner = cluster.owner(name)
