--- a/camphortray/jobproxy.py
+++ b/camphortray/jobproxy.py
@@ -1,4 +1,4 @@
-"""Passes job calls from the entry role to a batch role."""
+"""Forwards job calls from the entry role to a batch role."""
 
 __all__ = ["JobProxy", "candidates"]
 
@@ -18,16 +18,16 @@
 
 PREFIXES = ("/v1/jobs", "/v1/files", "/v1/batches")
 TIMEOUTS = httpclient.Timeouts(1.0, 120.0, 120.0)
-# For calls that only read: these may be asked again elsewhere.
+# For calls that only read, which are safe to retry at another batch role.
 READ_TIMEOUTS = httpclient.Timeouts(1.0, 10.0, 60.0)
-READS = frozenset({"GET", "HEAD"})
-# Batch roles tried for one call.
+READ_METHODS = frozenset({"GET", "HEAD"})
+# Most batch roles that are tried for one call.
 MAX_TRIES = 3
 
 
 @kernel.PARTS.register("entry")
 class JobProxy(kernel.Part):
-    """Streams job calls both ways; nothing is held whole."""
+    """Forwards job calls as streams, without buffering whole bodies."""
 
     name: ClassVar[str] = "jobproxy"
     requires: ClassVar[tuple[str, ...]] = ("routes", "membership")
@@ -39,7 +39,7 @@
         routes = context.part(web.Routes)
         for prefix in PREFIXES:
             for path in (prefix, prefix + "/{rest...}"):
-                routes.add("*", path, web.Access.WORKSPACE, self.pass_on)
+                routes.add("*", path, web.Access.WORKSPACE, self.forward)
 
     @classmethod
     def from_config(cls, context: kernel.Context) -> "JobProxy":
@@ -48,18 +48,25 @@
     def targets(self) -> list[configs.Address]:
         """Return the batch roles to try, in order."""
         config = self.context.config
-        held = self.members.member(f"{config.host.name}/batch")
-        texts = candidates(config.host, self.members.live("batch"))
-        if held is None or not (held.http_address or held.dead):
-            # It may have started a moment ago and not have told its
-            # address yet: the caller would hear that no batch role is
-            # alive. A refused connection is soon told and proves that
-            # nothing ran.
-            texts.insert(0, config.batch.advertise or config.batch.listen)
-        return [configs.Address.from_text(text) for text in texts[:MAX_TRIES]]
-
-    async def pass_on(self, call: web.Call) -> None:
-        """Pass one call on to the first batch role that takes it."""
+        own = self.members.member(f"{config.host.name}/batch")
+        addresses = candidates(config.host, self.members.live("batch"))
+        if own is None or not (own.http_address or own.dead):
+            # Right after a start the address may not have been gossiped yet,
+            # and the call would be refused although the role is alive. If it
+            # is not, the connection is refused at once and nothing ran.
+            addresses.insert(0, config.batch.advertise or config.batch.listen)
+        return [
+            configs.Address.from_text(text) for text in addresses[:MAX_TRIES]
+        ]
+
+    async def forward(self, call: web.Call) -> None:
+        """Forward a call to the first batch role that answers.
+
+        A call that may have run is not retried unless it only reads.
+
+        Raises:
+          Refused: no batch role answered.
+        """
         refusal = errors.Refused(
             503, "no_batch", "no batch role is alive", retry_after=1
         )
@@ -67,9 +74,9 @@
             try:
                 answer = await self.send(call, target)
             except errors.UpstreamBroken as error:
-                LOG.info("No answer: {}", error)
+                LOG.info("No answer from a batch role: {}", error)
                 refusal = refusal_of(error)
-                if error.ran and call.request.method not in READS:
+                if error.ran and call.request.method not in READ_METHODS:
                     break
             else:
                 await forward.copy(call, answer)
@@ -81,12 +88,15 @@
     ) -> httpclient.ClientResponse:
         """Send a call and return the head of its answer.
 
-        What may change something goes over a new connection: on a kept
-        one that went silent it could not be told whether it ran, and
-        then nobody may send it again.
+        A call that may change state uses a new connection. If a kept one
+        were dead, it would be unknown whether the call ran, and it could
+        not be retried.
+
+        Raises:
+          UpstreamBroken: the batch role did not answer.
         """
         request = call.request
-        reads = request.method in READS
+        read_only = request.method in READ_METHODS
         headers = [
             (name, value)
             for name, value in request.headers.items()
@@ -103,8 +113,8 @@
             request.iter_body(limit)
             if forward.has_body(request.headers)
             else b"",
-            timeouts=READ_TIMEOUTS if reads else TIMEOUTS,
-            fresh=not reads,
+            timeouts=READ_TIMEOUTS if read_only else TIMEOUTS,
+            fresh=not read_only,
         )
 
     async def stop(self) -> None:
@@ -116,12 +126,12 @@
 ) -> list[str]:
     """Return the addresses of batch roles: this host's own, then others.
 
-    A suspected one comes after all that are well, and those in other
-    availability zones after the near ones. Entries of different hosts
-    order them differently, so that a lost role's work is spread.
+    Suspected ones come after all that are alive, and other availability
+    zones after the own one. Each host orders the rest differently, so that
+    the calls of a failed role are spread.
     """
 
-    def place(member: membership.Member) -> tuple[bool, bool, bool, int]:
+    def rank(member: membership.Member) -> tuple[bool, bool, bool, int]:
         return (
             member.status is not membership.Status.ALIVE,
             member.host != own.name,
@@ -129,10 +139,10 @@
             -ring.score(own.name, member.name),
         )
 
-    return [m.http_address for m in sorted(live, key=place) if m.http_address]
+    return [m.http_address for m in sorted(live, key=rank) if m.http_address]
 
 
 def refusal_of(error: errors.UpstreamBroken) -> errors.Refused:
-    """Return the refusal that tells a caller of a broken call."""
+    """Return the refusal for a call that a batch role did not answer."""
     ran = "unknown" if error.ran else "no"
     return errors.Refused(503, "no_batch", str(error), ran=ran, retry_after=1)
