--- a/camphortray/openai_batch.py
+++ b/camphortray/openai_batch.py
@@ -1,4 +1,4 @@
-"""OpenAI's ``/v1/batches``: jobs made of input files."""
+"""Serves OpenAI's ``/v1/batches``: jobs made from input files."""
 
 __all__ = ["OpenAiBatches"]
 
@@ -17,13 +17,14 @@
 from camphortray import tree
 from camphortray import web
 
-MAX_PAGE = 100
-DEFAULT_PAGE = 20
-MAX_METADATA = 16
+# Batches in a page of the list, and entries in a batch's metadata.
+MAX_PAGE_BATCHES = 100
+DEFAULT_PAGE_BATCHES = 20
+MAX_METADATA_ENTRIES = 16
 
 
 class BatchRequest(msgspec.Struct):
-    """What a caller asks for."""
+    """Body of a call that creates a batch."""
 
     input_file_id: str
     endpoint: str
@@ -33,7 +34,7 @@
 
 @kernel.PARTS.register("batch")
 class OpenAiBatches(kernel.Part):
-    """Batches; each is a job in the shard of its input file."""
+    """Serves calls on batches; each is a job in its input file's shard."""
 
     name: ClassVar[str] = "openaibatches"
     requires: ClassVar[tuple[str, ...]] = ("jobs", "jobcalls", "routes")
@@ -54,16 +55,16 @@
         return cls(context)
 
     async def create(self, call: web.Call) -> None:
-        """Make a job of a file."""
-        asked, data = await read_request(call)
-        shard, held = await self.calls.find_file(
-            asked.input_file_id, call.caller
+        """Create a batch from an input file."""
+        request, data = await read_request(call)
+        shard, file = await self.calls.find_file(
+            request.input_file_id, call.caller
         )
         if not shard.owner.owned:
             await self.calls.to_owner(call, shard, data)
             return
         self.calls.check_log(shard)
-        accept = self.record(call, asked, held.accept)
+        accept = self.record(call, request, file.accept)
         _, job = await self.calls.accept(shard, accept)
         if job.accept.digest != accept.digest:
             raise errors.Refused(
@@ -75,11 +76,18 @@
         call.response.send_json(200, openai_format.batch_object(job))
 
     def record(
-        self, call: web.Call, asked: BatchRequest, file: jobs.FileAccept
+        self, call: web.Call, request: BatchRequest, file: jobs.FileAccept
     ) -> jobs.JobAccept:
-        """Return the record that accepts a batch."""
-        window_s = openai_format.window_s(asked.completion_window)
-        if asked.endpoint != file.path:
+        """Build the record that accepts a batch.
+
+        The job's id starts like the file's, so that both are in one shard.
+
+        Raises:
+          Refused: the request does not fit the file, or no service has the
+            file's model.
+        """
+        window_s = openai_format.window_s(request.completion_window)
+        if request.endpoint != file.path:
             raise errors.Refused(
                 400,
                 "bad_field",
@@ -97,15 +105,15 @@
         now = self.context.clock.wall()
         key = call.request.headers.get("idempotency-key")
         key = key or f"batch {call.request.id}"
-        mark = xxhash.xxh64_hexdigest(f"{call.caller}\0{key}".encode())
+        key_digest = xxhash.xxh64_hexdigest(f"{call.caller}\0{key}".encode())
         return jobs.JobAccept(
-            file.file[:16] + mark,
+            file.file[:16] + key_digest,
             0,
             call.caller,
             key,
             service.name,
             file.count,
-            f"{file.file} {asked.endpoint}",
+            f"{file.file} {request.endpoint}",
             now + window_s,
             service.get("job.keep_s"),
             True,
@@ -113,28 +121,31 @@
             now,
             service.get("job.weight"),
             file.file,
-            asked.metadata or {},
+            request.metadata or {},
         )
 
     async def find(self, call: web.Call) -> Any:
-        """Return shard and job of the batch a call names."""
+        """Return the shard and the job of the batch that a call names."""
         name = call.params["batch"].removeprefix(openai_format.BATCH)
         return await self.calls.find(name, call.caller)
 
     async def retrieve(self, call: web.Call) -> None:
-        """Tell where a batch stands."""
+        """Return the batch object of a batch."""
         _, job = await self.find(call)
         call.response.send_json(200, openai_format.batch_object(job))
 
     async def list(self, call: web.Call) -> None:
         """List the caller's batches, newest first, a page at a time."""
         query = call.request.query
-        limit = query.get("limit", str(DEFAULT_PAGE))
-        if not limit.isdigit() or not 0 < int(limit) <= MAX_PAGE:
+        limit = query.get("limit", str(DEFAULT_PAGE_BATCHES))
+        if not limit.isdigit() or not 0 < int(limit) <= MAX_PAGE_BATCHES:
             raise errors.Refused(
-                400, "bad_field", f"limit is 1 to {MAX_PAGE}", field="limit"
+                400,
+                "bad_field",
+                f"limit is 1 to {MAX_PAGE_BATCHES}",
+                field="limit",
             )
-        found = [
+        batches = [
             openai_format.batch_object(job)
             for job in sorted(
                 self.calls.jobs_of(call.caller),
@@ -142,10 +153,10 @@
             )
             if job.accept.file
         ]
-        names = [batch["id"] for batch in found]
+        names = [batch["id"] for batch in batches]
         after = query.get("after", "")
-        begin = names.index(after) + 1 if after in names else 0
-        page = found[begin : begin + int(limit)]
+        start = names.index(after) + 1 if after in names else 0
+        page = batches[start : start + int(limit)]
         call.response.send_json(
             200,
             {
@@ -153,35 +164,38 @@
                 "data": page,
                 "first_id": page[0]["id"] if page else None,
                 "last_id": page[-1]["id"] if page else None,
-                "has_more": begin + len(page) < len(found),
+                "has_more": start + len(page) < len(batches),
             },
         )
 
     async def cancel(self, call: web.Call) -> None:
-        """Stop a batch."""
+        """Cancel a batch."""
         shard, job = await self.find(call)
         if await self.calls.cancel(call, shard, job):
             call.response.send_json(200, openai_format.batch_object(job))
 
 
 async def read_request(call: web.Call) -> tuple[BatchRequest, bytes]:
-    """Return what a caller asks for, and its bytes.
+    """Read the body of a call that creates a batch.
+
+    Returns:
+      The request, and its bytes as sent.
 
     Raises:
       Refused: a field is missing or wrong.
     """
     data = await call.request.body(forward.MAX_SMALL_BODY_BYTES)
     try:
-        asked = msgspec.json.decode(data, type=BatchRequest)
+        request = msgspec.json.decode(data, type=BatchRequest)
     except (msgspec.MsgspecError, UnicodeDecodeError) as error:
         raise errors.Refused(
             400, "bad_field", str(error), field="(body)"
         ) from error
-    if len(asked.metadata or {}) > MAX_METADATA:
+    if len(request.metadata or {}) > MAX_METADATA_ENTRIES:
         raise errors.Refused(
             400,
             "bad_field",
-            f"more than {MAX_METADATA} entries",
+            f"more than {MAX_METADATA_ENTRIES} entries",
             field="metadata",
         )
-    return asked, data
+    return request, data
