--- a/camphortray/openai_files.py
+++ b/camphortray/openai_files.py
@@ -1,4 +1,4 @@
-"""OpenAI's ``/v1/files`` over chunks in the log."""
+"""Serves OpenAI's ``/v1/files`` from chunks in the log."""
 
 __all__ = ["OpenAiFiles"]
 
@@ -25,18 +25,19 @@
 
 # Largest field of the form besides the file, in bytes.
 MAX_FIELD_BYTES = 4096
-# Most lines of a file, and how long one is kept, in seconds. A file is
-# of no service yet, so no node of the settings tree speaks of it.
+# Most lines of a file, and its retention. A file belongs to no service yet,
+# so no node of the settings tree applies to it.
 MAX_LINES = 140_000
-KEEP_S = 86_400.0
+RETENTION_S = 86_400.0
 
 
 @kernel.PARTS.register("batch")
 class OpenAiFiles(kernel.Part):
-    """Input files, kept as chunks; files of results, made when read.
+    """Serves input files, and output and error files.
 
-    A host has no disk: the lines of a file go into the stream of a shard
-    and a batch takes them over where they stand.
+    A host has no disk: the lines of an input file are stored as chunks in a
+    shard's stream, and a batch refers to them there. Output and error files
+    are generated from a job's results when they are read.
     """
 
     name: ClassVar[str] = "openaifiles"
@@ -59,7 +60,7 @@
         return cls(context)
 
     async def create(self, call: web.Call) -> None:
-        """Take a file; its lines are checked as they come."""
+        """Create an input file; its lines are checked as they arrive."""
         shard = self.calls.owned_shard()
         if shard is None:
             await self.calls.to_owner(call, self.calls.random_shard())
@@ -67,7 +68,7 @@
         self.calls.check_log(shard)
         name = self.new_id(shard)
         check = job_reader.FileCheck(jobparams.PATHS)
-        taker = job_writer.JobWriter(
+        writer = job_writer.JobWriter(
             shard,
             name,
             self.context.config.streams,
@@ -75,9 +76,9 @@
             max_items=MAX_LINES,
         )
         form = FormReader(call, self.context.config.batch.max_job_bytes)
-        taken = await taker.take(form.file())
+        taken = await writer.take(form.file())
         if form.fields.get("purpose") != "batch":
-            await taker.drop()
+            await writer.drop()
             raise errors.Refused(
                 400, "bad_field", "purpose must be batch", field="purpose"
             )
@@ -88,7 +89,7 @@
             form.filename,
             taken.count,
             taken.size,
-            KEEP_S,
+            RETENTION_S,
             self.context.clock.wall(),
             check.path,
             check.model,
@@ -97,7 +98,7 @@
         call.response.send_json(200, openai_format.file_object(accept))
 
     def new_id(self, shard: jobshard.JobShard) -> str:
-        """Return a new id in a shard; it names the shard by itself."""
+        """Return a random file id from which the shard can be derived."""
         count = len(self.shards.shards)
         while True:
             name = uuid.UUID(int=self.context.rng.getrandbits(128)).hex
@@ -106,45 +107,45 @@
 
     async def list(self, call: web.Call) -> None:
         """List the caller's input files, newest first."""
-        found = [
-            held.accept
+        files = [
+            file.accept
             for shard in self.shards.shards
-            for held in shard.fold.files.values()
-            if held.accept.workspace == call.caller
+            for file in shard.fold.files.values()
+            if file.accept.workspace == call.caller
         ]
-        found.sort(key=lambda accept: -accept.taken_at)
+        files.sort(key=lambda accept: -accept.taken_at)
         call.response.send_json(
             200,
             {
                 "object": "list",
-                "data": [openai_format.file_object(a) for a in found],
+                "data": [openai_format.file_object(a) for a in files],
                 "has_more": False,
             },
         )
 
     async def retrieve(self, call: web.Call) -> None:
-        """Tell of a file."""
+        """Return the file object of an input, output or error file."""
         text = call.params["file"]
         for prefix in (openai_format.OUTPUT, openai_format.ERRORS):
             if text.startswith(prefix):
                 job_id = text.removeprefix(prefix)
                 _, job = await self.calls.find(job_id, call.caller)
-                shown = openai_format.result_file_object(job, prefix)
-                call.response.send_json(200, shown)
+                described = openai_format.result_file_object(job, prefix)
+                call.response.send_json(200, described)
                 return
-        _, held = await self.calls.find_file(text, call.caller)
-        shown = openai_format.file_object(held.accept)
-        call.response.send_json(200, shown)
+        _, file = await self.calls.find_file(text, call.caller)
+        described = openai_format.file_object(file.accept)
+        call.response.send_json(200, described)
 
     async def delete(self, call: web.Call) -> None:
-        """Forget an input file; batches made of it go on."""
+        """Delete an input file; batches made from it continue."""
         text = call.params["file"]
-        shard, held = await self.calls.find_file(text, call.caller)
+        shard, file = await self.calls.find_file(text, call.caller)
         if not shard.owner.owned:
             await self.calls.to_owner(call, shard)
             return
-        gone = jobs.FileForget(held.accept.file)
-        await self.calls.write(shard, jobs.FILE_FORGET, gone)
+        forget = jobs.FileForget(file.accept.file)
+        await self.calls.write(shard, jobs.FILE_FORGET, forget)
         call.response.send_json(
             200, {"id": text, "object": "file", "deleted": True}
         )
@@ -154,48 +155,50 @@
         text = call.params["file"]
         headers = [jobapi.JSON_LINES]
         if text.startswith((openai_format.OUTPUT, openai_format.ERRORS)):
-            good = text.startswith(openai_format.OUTPUT)
+            output = text.startswith(openai_format.OUTPUT)
             job_id = text.rpartition("-")[2]
             shard, job = await self.calls.find(job_id, call.caller)
-            found = result_lines(results.ResultReader(shard, job), good)
+            lines = result_lines(results.ResultReader(shard, job), output)
         else:
-            shard, held = await self.calls.find_file(text, call.caller)
-            found = input_lines(shard, held)
-        await jobapi.stream(call, found, plain_line, headers)
+            shard, file = await self.calls.find_file(text, call.caller)
+            lines = input_lines(shard, file)
+        await jobapi.stream(call, lines, plain_line, headers)
 
 
 async def result_lines(
-    reader: results.ResultReader, good: bool
+    reader: results.ResultReader, output: bool
 ) -> AsyncIterator[tuple[str, bytes]]:
     """Yield the lines of a job's output file, or of its error file."""
-    line_of = openai_format.output_line if good else openai_format.error_line
+    format_line = (
+        openai_format.output_line if output else openai_format.error_line
+    )
     async for cursor, result in reader.in_order():
-        if (result.status == "done") is good:
-            yield cursor, line_of(result)
+        if (result.status == "done") is output:
+            yield cursor, format_line(result)
 
 
 async def input_lines(
-    shard: jobshard.JobShard, held: jobs.InputFile
+    shard: jobshard.JobShard, file: jobs.InputFile
 ) -> AsyncIterator[tuple[str, bytes]]:
     """Yield the lines of an input file."""
-    for number in range(len(held.chunks)):
-        record = await shard.read(held.chunks[number][0])
+    for number in range(len(file.chunks)):
+        record = await shard.read(file.chunks[number][0])
         raw = record.body["body"] if record.kind == jobs.CARRY else record.body
         for line in records.typed(raw, jobs.JobChunk).items:
             yield "", line
 
 
 def plain_line(line: Any, cursor: str) -> bytes:
-    """Return a line with its end."""
+    """Return a line with a newline added."""
     return bytes(line) + b"\n"
 
 
 class FormReader:
-    """Reads an upload form; the file is passed on as it comes.
+    """Reads an upload form and streams its file.
 
     Attributes:
-      fields: The other fields, by name.
-      filename: As the caller named the file.
+      fields: The fields other than the file, by name.
+      filename: Name that the caller gave the file.
     """
 
     def __init__(self, call: web.Call, limit: int) -> None:
@@ -208,7 +211,11 @@
         self.filename = ""
 
     async def file(self) -> AsyncIterator[bytes]:
-        """Yield the bytes of the field ``file``."""
+        """Yield the bytes of the field ``file``.
+
+        Raises:
+          Refused: the body is no complete form, or a field is too long.
+        """
         name = ""
         async for data in self.request.iter_body(self.limit):
             for event in self.form.feed(data):
@@ -221,11 +228,11 @@
                 else:
                     self.add(name, event.body)
         if not self.form.ended:
-            raise multipart.bad("the form is not whole")
+            raise multipart.bad_form("the form is not whole")
 
     def add(self, name: str, data: bytes) -> None:
-        """Take bytes of a small field."""
+        """Append bytes to a field other than the file."""
         text = self.fields.get(name, "") + data.decode("utf-8", "replace")
         if len(text) > MAX_FIELD_BYTES:
-            raise multipart.bad(f"field {name!r} is too long")
+            raise multipart.bad_form(f"field {name!r} is too long")
         self.fields[name] = text
