--- a/camphortray/multipart.py
+++ b/camphortray/multipart.py
@@ -41,8 +41,8 @@
     """Incremental parser that splits a form into parts and their data.
 
     >>> form = Form.from_content_type('multipart/form-data; boundary="x"')
-    >>> start = b'--x\\r\\nContent-Disposition: form-data; name="a"\\r\\n\\r\\n'
-    >>> list(form.feed(start + b"1\\r\\n--x--"))
+    >>> head = b'--x\\r\\nContent-Disposition: form-data; name="a"\\r\\n\\r\\n'
+    >>> list(form.feed(head + b"1\\r\\n--x--"))
     [Part(name='a', filename=''), Data(body=b'1')]
     """
 
