--- a/tests/test_openai_batch.py
+++ b/tests/test_openai_batch.py
@@ -1,4 +1,4 @@
-"""Tests of OpenAI's files and batches over the same jobs."""
+"""Tests of the files and batches API with OpenAI's own client."""
 
 import json
 
@@ -17,8 +17,8 @@
 
 
 @pytest.fixture
-async def stock():
-    """Give a cluster and the stock client."""
+async def cluster_and_client():
+    """Yield a cluster and OpenAI's unmodified client for it."""
     async with jobcluster.JobCluster(hosts=2) as cluster:
         address = cluster.hosts["host-1"].address
         async with openai.AsyncOpenAI(
@@ -44,8 +44,8 @@
     )
 
 
-async def test_the_stock_client_runs_a_batch(stock):
-    cluster, client = stock
+async def test_the_openai_client_runs_a_batch(cluster_and_client):
+    cluster, client = cluster_and_client
     data = batch_lines(7) + b"\n" + batch_lines(1, custom_id="x", body={})
     file = await client.files.create(file=("in", data), purpose="batch")
     assert (await client.files.content(file.id)).content == data + b"\n"
@@ -77,8 +77,8 @@
         await client.files.retrieve(file.id)
 
 
-async def test_the_stock_client_cancels_a_batch(stock):
-    cluster, client = stock
+async def test_the_openai_client_cancels_a_batch(cluster_and_client):
+    cluster, client = cluster_and_client
     body = item("long", tokens=5000)
     data = batch_lines(1, body=body)
     file = await client.files.create(file=("in", data), purpose="batch")
@@ -100,8 +100,8 @@
         (b"", "batch", "(body)"),
     ],
 )
-async def test_a_bad_file_is_refused(stock, data, purpose, param):
-    cluster, client = stock
+async def test_a_bad_file_is_refused(cluster_and_client, data, purpose, param):
+    cluster, client = cluster_and_client
     with pytest.raises(openai.BadRequestError) as caught:
         await client.files.create(file=("in", data), purpose=purpose)
     assert caught.value.param == param
@@ -109,8 +109,8 @@
         assert not shard.fold.files and not shard.fold.uploads
 
 
-async def test_a_batch_must_fit_its_file(stock):
-    _, client = stock
+async def test_a_batch_must_fit_its_file(cluster_and_client):
+    _, client = cluster_and_client
     file = await client.files.create(
         file=("in", batch_lines(1)), purpose="batch"
     )
