--- a/tests/test_jobproxy.py
+++ b/tests/test_jobproxy.py
@@ -1,4 +1,4 @@
-"""Tests of the choice of a batch role."""
+"""Tests of which batch roles the entry role forwards job calls to."""
 
 import asyncio
 import types
@@ -49,9 +49,9 @@
     ids=["not heard of", "has told no address", "dead"],
 )
 def test_an_own_role_that_has_just_started_is_asked(own, asked):
-    # Right after a start the batch role is known by name only, or not at
-    # all. Callers were told that no batch role is alive, though the own
-    # one was; its address stands in the host's settings.
+    # Right after a start the own batch role is known by name only, or not
+    # at all, and calls were refused as if no batch role were alive. Its
+    # address is taken from the host's configuration instead.
     proxy = jobproxy.JobProxy.__new__(jobproxy.JobProxy)
     config = configs.Config.from_toml(test_config.GOOD)
     proxy.context = types.SimpleNamespace(config=config)
@@ -62,8 +62,8 @@
     assert [str(target) for target in proxy.targets()] == asked
 
 
-class CrashReports(httpserver.Handler):
-    """A batch role that ends the connection after it read the body."""
+class AbortingHandler(httpserver.Handler):
+    """Aborts each connection after it has read the body of the request."""
 
     def __init__(self):
         self.bodies = 0
@@ -80,10 +80,10 @@
 async def test_a_job_that_may_have_run_is_not_sent_again(
     method, ran, sent, monkeypatch
 ):
-    # The batch role breaks off after it has read a job. It may have taken
-    # it, so the caller is told "unknown" and no other role gets it; what
-    # only reads is asked elsewhere.
-    handler = CrashReports()
+    # The batch role aborts after it has read a job and may have accepted
+    # it, so the refusal says "unknown" and the call is not retried. A call
+    # that only reads is retried at the next batch role.
+    handler = AbortingHandler()
     server = httpserver.HttpServer(handler)
     await server.start(configs.Address("127.0.0.1", 0))
     async with clusters.Cluster(engines=1) as cluster:
@@ -102,14 +102,14 @@
 
 
 async def test_another_host_takes_jobs_while_the_own_role_is_away():
-    # A host's batch program is down; its entry still takes jobs and has
-    # another host's batch program do the work. Nothing had been sent when
-    # the connection was refused, so trying the next one is safe.
+    # A host's batch program is down, and its entry forwards job calls to
+    # another host's. Nothing has been sent when a connection is refused, so
+    # trying the next batch program is safe.
     async with clusters.Cluster(engines=1, hosts=2) as cluster:
         host = cluster.hosts["host-0"]
-        seen = host.part("entry", membership.Membership)
+        known = host.part("entry", membership.Membership)
         async with asyncio.timeout(20):
-            while sum(bool(m.http_address) for m in seen.live("batch")) < 2:
+            while sum(bool(m.http_address) for m in known.live("batch")) < 2:
                 await asyncio.sleep(0)
         await host.stop("batch")
         client = httpclient.HttpClient()
