--- a/tests/test_jobapi.py
+++ b/tests/test_jobapi.py
@@ -1,4 +1,4 @@
-"""Tests of jobs through real parts on loopback."""
+"""Tests of the job API on clusters whose parts run on loopback."""
 
 import asyncio
 import dataclasses
@@ -22,10 +22,10 @@
 from tests import jobcluster
 
 item = jobcluster.item
-# Far above what any test waits, and for how long a test lets the loop
-# stand still: longer than hurried grants hold.
+# LONG_S is far above what any test waits. BLOCK_S is how long a test blocks
+# the event loop: longer than the shortened grants are valid.
 LONG_S = 2 * jobcluster.WAIT_S
-STAND_S = 0.5
+BLOCK_S = 0.5
 
 
 @pytest.fixture(autouse=True)
@@ -71,8 +71,8 @@
 
 
 async def test_a_resend_is_the_same_job_and_other_content_is_refused():
-    # A client sends a job to two hosts at once and again later. It gets
-    # one job; the same key with other items, or run otherwise, is told.
+    # A client submits a job to two hosts at once and again later, and gets
+    # one job. The same key with other items or options is refused.
     async with jobcluster.JobCluster(hosts=2) as cluster:
         asked = items(6)
         both = await asyncio.gather(
@@ -116,8 +116,8 @@
 
 
 async def test_a_cancelled_job_stops_and_engines_are_told():
-    # A job is cancelled, by a host that does not own it, while items are
-    # at engines. They stop, and nothing is added to what was read.
+    # A job is cancelled through a host that does not own it while engines
+    # run its items. They stop, and no results are added afterwards.
     async with jobcluster.JobCluster(hosts=2, speed=1.0) as cluster:
         asked = [item(f"q {n}", tokens=400) for n in range(30)]
         _, job = await cluster.submit("k", asked)
@@ -144,7 +144,7 @@
         assert cluster.history.finish(cluster.sent()) == []
 
 
-async def test_results_end_with_their_keeping_time():
+async def test_results_are_gone_after_their_retention():
     async with jobcluster.JobCluster() as cluster:
         _, job = await cluster.submit("k", items(2), query="&keep_s=0.5")
         name = job["id"]
@@ -170,8 +170,8 @@
 
 
 async def test_slots_taken_back_cost_no_tokens():
-    # Online work comes and every slot is taken back over and over. Each
-    # item goes on where it was, and its answer is whole, byte by byte.
+    # Online load revokes every slot repeatedly. Each item resumes where it
+    # stopped, and its answer is complete, byte for byte.
     async with jobcluster.JobCluster(speed=4.0) as cluster:
         asked = [item(f"q {n}", tokens=60) for n in range(4)]
         _, job = await cluster.submit("k", asked)
@@ -197,21 +197,21 @@
         assert len(cluster.sent()) > 8
 
 
-def note_revoked(monkeypatch):
-    """Return a list that takes all slots given up from now on."""
+def record_revoked(monkeypatch):
+    """Return a list to which all slots revoked from now on are added."""
     lost = []
     revoke = slots.Slots.revoke
 
-    def note(part, given_up):
-        lost.extend(given_up)
-        revoke(part, given_up)
+    def record(part, revoked):
+        lost.extend(revoked)
+        revoke(part, revoked)
 
-    monkeypatch.setattr(slots.Slots, "revoke", note)
+    monkeypatch.setattr(slots.Slots, "revoke", record)
     return lost
 
 
-async def end_fast(cluster, job):
-    """Let engines be fast, and check that all of a job is done, once."""
+async def finish_fast(cluster, job):
+    """Speed up the engines and check that each item is done and read once."""
     for engine in cluster.engines.values():
         engine.model.timing = standin_engine.TimingModel(speed=4.0)
     told = await cluster.ended(job)
@@ -221,11 +221,11 @@
 
 
 async def test_grants_that_end_cost_sends_but_no_tokens(monkeypatch):
-    # Twice, with all items at engines, no word comes from coordinators for
-    # longer than a grant holds. Nobody here knows then to whom else the slots
-    # were granted, so all are given up. The owner sends each item again,
-    # once for each slot taken back, and it goes on where it was.
-    lost = note_revoked(monkeypatch)
+    # Twice, with all items at engines, coordinators renew no grant for longer
+    # than one is valid. The slots may have been granted to others by then, so
+    # all are revoked. The owner sends each item again, once for each revoked
+    # slot, and the item resumes where it stopped.
+    lost = record_revoked(monkeypatch)
     silent = []
     grant = slot_granter.SlotGranter.grant
 
@@ -251,7 +251,7 @@
         await cluster.until(
             lambda: all(cluster.runs(name, i) >= 3 for i in range(40))
         )
-        await end_fast(cluster, name)
+        await finish_fast(cluster, name)
         runs = [cluster.runs(name, index) for index in range(40)]
         assert min(runs) >= 3
         assert sum(runs) <= 40 + len(lost)
@@ -262,11 +262,11 @@
 
 
 async def test_a_loop_that_stands_costs_no_sends(monkeypatch):
-    # Twice, with all items at engines, the loop stands still for longer than
-    # a grant holds. Nobody has taken a slot away meanwhile: the word that
-    # renews the grants lies unread. Each item was sent again for each such
-    # pause, as the time of the grants was over before it was read.
-    lost = note_revoked(monkeypatch)
+    # Twice, with all items at engines, the event loop is blocked for longer
+    # than a grant is valid. No slot is revoked meanwhile: the message that
+    # renews the grants is waiting to be read. Each item was sent again after
+    # each block, as the grants expired before that message was read.
+    lost = record_revoked(monkeypatch)
     values = {"limit.silence_s": LONG_S}
     async with jobcluster.JobCluster(speed=0.05, values=values) as cluster:
         asked = [item(f"q {n}", tokens=30) for n in range(40)]
@@ -277,7 +277,7 @@
         )
         engines = cluster.engines.values()
         for _ in range(2):
-            time.sleep(STAND_S)
+            time.sleep(BLOCK_S)
             before = sum(engine.model.tokens_made for engine in engines)
             await cluster.until(
                 lambda least=before + 40: (
@@ -285,7 +285,7 @@
                     >= least
                 )
             )
-        await end_fast(cluster, name)
+        await finish_fast(cluster, name)
         assert not lost
         assert [cluster.runs(name, index) for index in range(40)] == [1] * 40
         made = sum(engine.model.tokens_made for engine in engines)
@@ -293,8 +293,9 @@
 
 
 async def test_a_poison_item_fails_and_the_job_still_finishes():
-    # One item crashes each engine that runs it. Those beside it at the
-    # first crash run apart and are done; it fails after its second.
+    # One item crashes each engine that runs it. The items that ran beside it
+    # at the first crash are run separately and are done; the poison item
+    # fails after its second crash.
     async with jobcluster.JobCluster(engines=2) as cluster:
         asked = items(12)
         marker = next(iter(cluster.engines.values())).crash_marker
@@ -309,9 +310,9 @@
         assert cluster.history.finish(cluster.sent()) == []
 
 
-async def test_a_new_owner_goes_on_counting_crashes():
-    # The owner is lost between the two crashes of a poison item. The next
-    # owner knows of the first from the log: two crashes in all, not three.
+async def test_a_new_owner_continues_counting_crashes():
+    # The owner stops between the two crashes of a poison item. The next owner
+    # knows of the first from the log: two crashes in all, not three.
     async with jobcluster.JobCluster(hosts=2, engines=2) as cluster:
         marker = next(iter(cluster.engines.values())).crash_marker
         _, job = await cluster.submit("k", [item(f"{marker} 0")])
@@ -327,8 +328,8 @@
 
 
 async def test_a_call_that_may_run_once_is_unknown_after_a_takeover():
-    # A host is lost with such items at engines. They may have run; the
-    # next owner runs the others, and ends these as unknown.
+    # A host stops with non-idempotent items at engines. They may have run, so
+    # the next owner ends them as unknown and runs only the others.
     async with jobcluster.JobCluster(hosts=2, speed=2.0) as cluster:
         asked = [item(f"fitter {n}", tokens=40) for n in range(60)]
         query = "&idempotent=false"
@@ -345,13 +346,13 @@
 
 
 async def test_a_drain_ends_items_and_gives_shards_up():
-    # A host is drained with a job half done: nothing is cut off, results
-    # are kept, and another host goes on without a challenge.
-    # Beside load each item ran three times instead of once: as the process
-    # went on after a pause, the time of its grants was over, and it gave all
-    # slots up before it read the word that renewed them. On a loop that
-    # stands still it was red with 14 of 15 seeds, and no line told why but
-    # `batch_slots_revoked_total`, at as many as there were items.
+    # A host is drained with a job half done: no item is interrupted, results
+    # are kept, and another host continues without a challenge.
+    # Under load each item ran three times instead of once: after a pause of
+    # the process its grants had expired, and it revoked all slots before it
+    # read the message that renewed them. On a blocked loop this nearly
+    # always happened, and only `batch_slots_revoked_total` showed it, at as
+    # many as there were items.
     async with jobcluster.JobCluster(hosts=2, speed=4.0) as cluster:
         asked = [item(f"q {n}", tokens=30) for n in range(40)]
         _, job = await cluster.submit("k", asked)
@@ -370,11 +371,11 @@
         assert [cluster.runs(name, index) for index in range(40)] == [1] * 40
 
 
-async def hold_long(cluster, monkeypatch):
-    """Let grants hold for longer than any test stands still.
+async def extend_grants(cluster, monkeypatch):
+    """Make grants valid for longer than any test blocks the loop.
 
-    A small job goes first: a coordinator grants nothing new until what
-    the one before it granted could have ended.
+    A small job runs first: a new coordinator grants nothing until the grants
+    of its predecessor must have expired.
     """
     _, job = await cluster.submit("first", items(1))
     await cluster.ended(job["id"])
@@ -390,13 +391,13 @@
     monkeypatch.setattr(coordinator, "GRANT_S", LONG_S)
 
 
-async def test_a_drain_beside_pauses_ends_items_and_gives_shards_up(
+async def test_a_drain_with_a_blocked_loop_ends_items_and_gives_shards_up(
     monkeypatch,
 ):
-    # A host is drained with a job half done: nothing is cut off, results
-    # are kept, and another host goes on without a challenge; a claim upon
-    # one would come too late. The loop stands still, as it does beside
-    # load; no grant lapses and nobody is held for silent by that.
+    # A host is drained with a job half done: no item is interrupted, results
+    # are kept, and another host continues without a challenge, as a claim
+    # after one would come too late. The event loop is blocked, as under
+    # load; this expires no grant and makes no host count as silent.
     monkeypatch.setattr(web, "SPREAD_S", 0.1)
     timing = dataclasses.replace(takeover.Timing(), challenge_timeout_s=LONG_S)
     monkeypatch.setattr(takeover, "Timing", lambda: timing)
@@ -405,14 +406,14 @@
     async with jobcluster.JobCluster(
         hosts=2, speed=4.0, values=values
     ) as cluster:
-        await hold_long(cluster, monkeypatch)
+        await extend_grants(cluster, monkeypatch)
         before = len(cluster.sent())
         asked = [item(f"q {n}", tokens=30) for n in range(40)]
         cluster.stall(True)
         _, job = await cluster.submit("k", asked)
         name = job["id"]
         await cluster.until(lambda: len(cluster.sent()) >= before + 4)
-        time.sleep(STAND_S)
+        time.sleep(BLOCK_S)
         first = cluster.owner(name)
         held = cluster.shards(first)
         drain = asyncio.ensure_future(
@@ -420,7 +421,7 @@
         )
         await cluster.until(lambda: held.draining)
         assert held.dispatcher.in_flight() >= 4
-        time.sleep(STAND_S)
+        time.sleep(BLOCK_S)
         cluster.stall(False)
         await drain
         assert not held.dispatcher.in_flight()
@@ -436,15 +437,15 @@
 
 
 async def test_slots_taken_back_in_a_drain_cost_no_tokens(monkeypatch):
-    # Online work takes every slot back while a host is drained. What was
-    # begun there goes on there; the next owner could only begin anew.
+    # Online load revokes every slot while a host is drained. Items begun there
+    # continue there, as the next owner could only start them anew.
     monkeypatch.setattr(web, "SPREAD_S", 0.1)
     few = {f"upstream.engine-{number}.slots": 12 for number in range(2)}
     values = {"limit.silence_s": LONG_S, **few}
     async with jobcluster.JobCluster(
         hosts=2, speed=2.0, values=values
     ) as cluster:
-        await hold_long(cluster, monkeypatch)
+        await extend_grants(cluster, monkeypatch)
         engines = cluster.engines.values()
         early = sum(engine.model.tokens_made for engine in engines)
         asked = [item(f"q {n}", tokens=100) for n in range(40)]
@@ -476,9 +477,9 @@
 
 
 async def test_an_outage_of_the_log_holds_results_back(monkeypatch):
-    # The log is down while a job runs. Items go on, their results are
-    # held until it is back; a new job is refused as not run at once. A
-    # cancel stops dispatch, but is not told as done.
+    # The log is down while a job runs. Items continue, and their results are
+    # held until it is back; a new job is refused at once as not run. A cancel
+    # stops dispatch but is not answered before the log is back.
     async with jobcluster.JobCluster() as cluster:
         _, job = await cluster.submit("a", items(10))
         _, more = await cluster.submit("b", items(200, "long"))
@@ -521,9 +522,9 @@
 
 
 async def test_a_call_does_not_wait_for_an_owner_that_is_paused(monkeypatch):
-    # The owner is paused with a job in its hands. The host that handed it
-    # on challenges it, takes over and says that it does not know; a resend
-    # is accepted, and what the old owner wakes up with counts for nothing.
+    # The owner pauses after a job was forwarded to it. The forwarding host
+    # challenges it, takes over and answers that the outcome is unknown. A
+    # resend is accepted, and what the old owner does on waking is void.
     monkeypatch.setattr(jobcalls, "OWNER_SUSPECT_S", 0.1)
     async with jobcluster.JobCluster(hosts=2) as cluster:
         name = jobs.job_id(clusters.WORKSPACE, "k")
@@ -548,8 +549,9 @@
 
 
 async def test_results_outlive_the_logs_retention():
-    # The log forgets records after a moment, the caller reads later. The
-    # owner has carried the results forward; both hosts give them alike.
+    # The log deletes records after a short retention, before the caller reads.
+    # The owner has copied the results to new records, and both hosts return
+    # the same results.
     streams = {"streams": {"retention_s": 1.0}}
     async with jobcluster.JobCluster(hosts=2, overrides=streams) as cluster:
         _, job = await cluster.submit("k", items(6))
