--- a/camphortray/completing.py
+++ b/camphortray/completing.py
@@ -21,19 +21,19 @@
 from camphortray import web
 
 LOG = logs.logger("relay")
-# Maximum number of attempts of one request, whether or not they ran.
+# Maximum number of attempts per request, those that did not run included.
 MAX_TRIES = 4
 # Pause before a suspect request asks again for an isolation permit, in
 # seconds.
 ISOLATION_PAUSE_S = 0.1
-# Shortest limit on the silence before an answer's header, in seconds.
+# Lowest time-out for the header of an answer, in seconds.
 MIN_FIRST_S = 2.0
-# Ratio of that limit to the expected wait.
+# Ratio of the time-out for an answer's header to the expected wait for it.
 FIRST_FACTOR = 6
-# Ratio of the limit on the silence between an answer's header and its first
-# bytes to the limit before the header. A header shows that the connection
-# is alive, so more time is allowed after it.
-HEAD_FACTOR = 4
+# Ratio of the time-out for the first bytes after an answer's header to the
+# time-out for the header. A header shows that the connection is alive, so
+# more time is allowed after it.
+FIRST_BYTES_FACTOR = 4
 # Assumed length of an unstreamed answer if the request sets no limit.
 DEFAULT_ANSWER_TOKENS = 1024
 
@@ -45,8 +45,8 @@
       sent: The part of a streamed answer that was sent to the caller.
       position: Where the next attempt resumes the answer; None if it
         starts from the beginning.
-      first_s: Limit on the silence before the header of the current
-        attempt's answer, in seconds.
+      header_timeout_s: Time-out for the header of the current attempt's
+        answer, in seconds.
     """
 
     def __init__(
@@ -72,7 +72,7 @@
         self.deadline_at = deadline_at
         self.idempotent = idempotent
         self.position: resume.Position | None = None
-        self.first_s = MIN_FIRST_S
+        self.header_timeout_s = MIN_FIRST_S
 
     @functools.cached_property
     def text(self) -> str:
@@ -129,7 +129,7 @@
         return f"{self.name}.{self.tries + 1}"
 
     def verdict(self) -> poison.Verdict:
-        """Return whether the request may run now, and whether isolated."""
+        """Return whether the request may run, must wait, or runs isolated."""
         if self.parts.suspects.no_suspects:
             return poison.FREE
         return self.parts.suspects.verdict(self.service, self.fingerprint)
@@ -181,7 +181,7 @@
             # The caller's key may have been revoked while it was queued.
             self.call.check()
         position = self.position
-        self.first_s = self.first_silence_s(attempt.upstream)
+        self.header_timeout_s = self.header_timeout_for(attempt.upstream)
         return engine.EngineRequest(
             self.try_name(),
             self.call.request.path,
@@ -190,11 +190,11 @@
             self.left_s(),
             position.text if position else "",
             position.tokens if position else 0,
-            silence_s=self.first_s,
+            silence_s=self.header_timeout_s,
         )
 
-    def first_silence_s(self, upstream: engine.Upstream) -> float:
-        """Return the limit on the silence before an answer's header."""
+    def header_timeout_for(self, upstream: engine.Upstream) -> float:
+        """Return the time-out for the header of an answer, in seconds."""
         now = self.parts.clock.monotonic()
         wait_s = self.parts.upstreams.loads.wait_s(upstream, now)
         if not self.takes_events:
@@ -206,7 +206,7 @@
         return (("content-type", proxy_exchange.EVENTS),)
 
     def first_limit_s(self) -> float:
-        return HEAD_FACTOR * self.first_s
+        return FIRST_BYTES_FACTOR * self.header_timeout_s
 
     def silence_limit_s(self) -> float:
         return float(self.service.get("limit.silence_s"))
