--- a/camphortray/proxy_exchange.py
+++ b/camphortray/proxy_exchange.py
@@ -48,8 +48,8 @@
 
         Args:
           error: None for a complete answer, else what ended the attempt.
-            If that is not an ``UpstreamError``, this must not block: the
-            caller has disconnected or its deadline has passed.
+            For other errors than ``UpstreamError`` this must not block:
+            the caller may have disconnected, or the deadline passed.
         """
 
 
@@ -85,7 +85,7 @@
         """Return the next attempt.
 
         Raises:
-          Refused: there is no engine for it.
+          Refused: no engine is available for the attempt.
         """
 
     @abc.abstractmethod
@@ -109,7 +109,8 @@
         """Send an answer that is not an event stream to the caller.
 
         Raises:
-          UpstreamError: it is incomplete, or another engine may succeed.
+          UpstreamError: the answer is incomplete, or another engine may
+            succeed.
         """
 
     @abc.abstractmethod
@@ -165,7 +166,7 @@
             fresh = self.tries > 0
             request = self.request_for(attempt)
             self.tried |= {attempt.upstream.name}
-            # Assume that it may run until the engine shows that it did not.
+            # Counted as run until the engine shows that it did not run.
             self.ran += 1
             stream = await attempt.client.open(
                 attempt.upstream, request, fresh
@@ -206,7 +207,7 @@
         """Send the answer of an engine to the caller.
 
         Raises:
-          UpstreamError: it is incomplete.
+          UpstreamError: the answer is incomplete.
         """
         streamed = stream.content_type.startswith(EVENTS)
         if self.takes_events and streamed and stream.status // 100 == 2:
@@ -219,8 +220,8 @@
     ) -> None:
         """Send complete events to the caller until the stream ends.
 
-        The response headers are sent with the first event, so that after an
-        earlier failure the request can be refused or tried elsewhere.
+        The response headers are sent with the first event, so that
+        before it the request can be refused or tried at another engine.
 
         Raises:
           UpstreamError: the stream was cut off, or silent for too long.
