--- a/camphortray/forwarder.py
+++ b/camphortray/forwarder.py
@@ -28,8 +28,8 @@
 from camphortray import slot_scheduler
 
 LOG = logs.logger("forwarder")
-# Attempts per request. Most of them are refusals by an engine that did not
-# run the request, which cost a few milliseconds each.
+# Maximum number of attempts per request. Most of them are refusals by an
+# engine that did not run the request, which cost a few milliseconds each.
 MAX_TRIES = 6
 # A resumable stream moves to another engine after this share of the gap
 # between events that its route allows; the rest is left for the first event
@@ -115,7 +115,7 @@
       caller: The caller that the request runs for.
       answer: The last complete answer of an engine, not yet sent.
       engine: Name of the engine of the last attempt.
-      coordinator: Name of the coordinator that granted its slot.
+      coordinator: Name of the coordinator that granted the last slot.
       slot_s: Seconds spent waiting for the last slot.
       first_s: Seconds from the arrival to the first event.
     """
@@ -150,7 +150,7 @@
         """Run until the deadline.
 
         Raises:
-          Refused: there is no complete answer; it may have begun.
+          Refused: no complete answer was sent; part of one may have been.
         """
         self.admit()
         try:
@@ -158,7 +158,7 @@
                 await super().run()
         except TimeoutError:
             cause = early_end.Cause.TIME_OVER
-            self.give_up(504, "too_late", "time is over", None, cause)
+            self.refuse(504, "too_late", "time is over", None, cause)
 
     def admit(self) -> None:
         """Look up the caller by its key in the present configuration.
@@ -174,7 +174,7 @@
             self.log_end(refusal.status, refusal.message)
             raise
 
-    def give_up(
+    def refuse(
         self,
         status: int,
         code: str,
@@ -205,14 +205,14 @@
           status: Status sent to the caller, or the one that it would have
             got if its answer had not begun.
           why: Reason, as text.
-          cause: Cause of an end without a complete answer of an engine.
+          cause: Why no engine gave a complete answer; None if one did.
         """
         cut = cause is not None and bool(self.response.status)
         now = now_of(self.parts)
         took_s = now - self.request.arrived_at
         route = self.request.route
         LOG.info(
-            "{} ends with {} after {:.0f} ms: {}.",
+            "Request {} ended with status {} after {:.0f} ms: {}.",
             self.request.id,
             status,
             took_s * 1000,
@@ -264,9 +264,7 @@
             # 503 would say that the request has not run.
             status = 502 if self.ran else 503
             cause = early_end.Cause.BARRED
-            self.give_up(
-                status, "quarantined", "it broke engines", None, cause
-            )
+            self.refuse(status, "quarantined", "it broke engines", None, cause)
         route = self.request.route
         now = now_of(self.parts)
         want = slot_scheduler.SlotRequest(
@@ -337,8 +335,8 @@
         """
         cause = early_end.Cause.NO_SLOT
         if self.ran:
-            self.give_up(502, "upstream_failed", str(error), None, cause)
-        self.give_up(503, "busy", str(error), error.retry_after_s, cause)
+            self.refuse(502, "upstream_failed", str(error), None, cause)
+        self.refuse(503, "busy", str(error), error.retry_after_s, cause)
 
     def handle_failure(
         self, attempt: proxy_exchange.Try, error: errors.UpstreamError
@@ -347,7 +345,7 @@
         cause = early_end.cause_of(error)
         early_end.count(self.parts.metrics, "request", cause)
         LOG.info(
-            "{} failed at {}: {}",
+            "Request {} failed at engine {}: {}",
             self.request.id,
             name,
             error,
@@ -370,10 +368,10 @@
             self.answer.send(self.response)
             self.log_end(self.answer.status, "error answer of the engine")
         elif self.ran:
-            self.give_up(502, "upstream_failed", str(error), None, cause)
+            self.refuse(502, "upstream_failed", str(error), None, cause)
         else:
             wait_s = self.left_s() / 4
-            self.give_up(503, "upstream_refused", str(error), wait_s, cause)
+            self.refuse(503, "upstream_refused", str(error), wait_s, cause)
         return False
 
     @property
@@ -388,7 +386,7 @@
         """Return whether the request may have crashed its engine.
 
         A request that crashes engines does so before its first event. A
-        time-out is no sign of it: this host may have been paused or slow.
+        time-out does not count: this host may have been paused or slow.
         """
         return (
             error.ran
@@ -404,10 +402,10 @@
         return self.retryable_after(self.ran)
 
     def retryable_after(self, ran: int) -> bool:
-        """Return whether another attempt may follow ``ran`` that may have run.
+        """Return whether a further attempt is allowed.
 
         Args:
-          ran: Number of attempts that may have run.
+          ran: Number of earlier attempts that may have run.
         """
         route = self.request.route
         return route.repeatable and ran < route.max_attempts
@@ -444,7 +442,7 @@
     headers: tuple[tuple[str, str], ...]
 
     def send(self, response: httpserver.Response) -> None:
-        """Send it to the caller unchanged."""
+        """Send the answer to the caller unchanged."""
         response.send(self.status, self.body, self.headers)
 
 
--- a/tests/test_forwarder.py
+++ b/tests/test_forwarder.py
@@ -87,11 +87,11 @@
 
 ALL = b"".join(hostkit.events(1, 4))
 TWO = hostkit.events(1, 2)
-SAFE = dataclasses.replace(
+REPEATABLE = dataclasses.replace(
     hostkit.STREAM_ROUTE, kind=routemap.Kind.IDEMPOTENT, max_attempts=2
 )
-ONCE = dataclasses.replace(SAFE, kind=routemap.Kind.NON_IDEMPOTENT)
-# An error that a library raised instead of one of its own.
+ONCE = dataclasses.replace(REPEATABLE, kind=routemap.Kind.NON_IDEMPOTENT)
+# An internal error of a library, raised instead of one of its own types.
 UNEXPECTED = AttributeError("'NoneType' object has no attribute 'write'")
 
 
@@ -115,10 +115,10 @@
         (hostkit.STREAM_ROUTE, [hostkit.BROKEN], 502, 1),
         (ONCE, [hostkit.BROKEN], 502, 1),
         (hostkit.STREAM_ROUTE, [answer(*TWO, hostkit.BROKEN)], 0, 1),
-        # Not run, then perhaps run: not refused as not run.
+        # Not run at first, then possibly run: not refused as not run.
         (ONCE, [hostkit.FULL, hostkit.BROKEN], 502, 2),
         # Repeatable, up to the attempts of its route.
-        (SAFE, [hostkit.BROKEN, hostkit.BROKEN], 502, 2),
+        (REPEATABLE, [hostkit.BROKEN, hostkit.BROKEN], 502, 2),
         (hostkit.RESUMABLE, [hostkit.BROKEN, answer(*TWO)], 200, 2),
         # A request of a route with one attempt is not tried again.
         (
@@ -142,7 +142,7 @@
 
 
 @pytest.mark.parametrize("fault", [hostkit.BROKEN, hostkit.SILENT])
-async def test_a_resumable_stream_goes_on_in_the_same_answer(fault):
+async def test_a_resumable_stream_continues_in_the_same_answer(fault):
     # The engine fails in the middle of event 3. The caller sees one answer,
     # with the headers of the first engine and each event once.
     partial = hostkit.event(3)[:5]
@@ -171,7 +171,7 @@
             200,
             2,
         ),
-        (SAFE, [UNEXPECTED, UNEXPECTED], 502, 2),
+        (REPEATABLE, [UNEXPECTED, UNEXPECTED], 502, 2),
         # It may have run, and must not run again.
         (ONCE, [UNEXPECTED], 502, 1),
     ],
@@ -179,9 +179,9 @@
 async def test_an_unexpected_error_ends_an_attempt_and_not_the_request(
     route, script, status, sent
 ):
-    # A library raises an error that no code expects, on sending or reading.
+    # A library raises an unexpected error while sending or reading.
     # The caller got 500 although another engine was available. The error
-    # is no sign of a failing engine, nor of a request that crashes engines.
+    # must not count against the engine, nor be reported as a crash.
     script = [
         hostkit.Answer(a.chunks) if isinstance(a, hostkit.Answer) else a
         for a in script
@@ -196,7 +196,7 @@
     assert not forwarding.parts.crashes.reports
 
 
-async def test_a_stream_torn_at_its_end_is_not_made_to_look_whole():
+async def test_a_truncated_stream_does_not_look_complete():
     forwarding = forwarder_of([hostkit.Answer([*TWO, hostkit.event(3)[:5]])])
     assert await outcome(forwarding) == 0
     assert not forwarding.response.ended
@@ -207,9 +207,9 @@
     [
         (ONCE, [500], 500),
         (ONCE, [422], 422),
-        (SAFE, [500, 200], 200),
-        (SAFE, [500, 500], 500),
-        (SAFE, [404], 404),
+        (REPEATABLE, [500, 200], 200),
+        (REPEATABLE, [500, 500], 500),
+        (REPEATABLE, [404], 404),
     ],
 )
 async def test_an_engines_own_failure_is_passed_on_unchanged(
@@ -224,14 +224,14 @@
 
 async def test_a_request_without_a_slot_is_refused_at_once_with_retry_after():
     forwarding = forwarder_of([], refusals=1)
-    with pytest.raises(errors.Refused) as told:
+    with pytest.raises(errors.Refused) as caught:
         await forwarding.run()
-    assert (told.value.status, told.value.ran) == (503, "no")
-    assert told.value.retry_after == 0.25
+    assert (caught.value.status, caught.value.ran) == (503, "no")
+    assert caught.value.retry_after == 0.25
     assert asyncio.get_running_loop().time() < 0.01
 
 
-async def test_no_room_after_a_try_that_ran_promises_nothing():
+async def test_no_slot_after_an_attempt_that_ran_is_not_refused_as_not_run():
     # The first attempt was cut off and may have run; a 503 would say that
     # the request has not run.
     forwarding = forwarder_of([hostkit.BROKEN], hostkit.RESUMABLE)
@@ -279,9 +279,9 @@
 
 
 async def test_a_request_barred_after_it_ran_is_not_refused_as_not_run():
-    # Its first engine closes the connection; meanwhile other hosts report
-    # two more crashes, so that it is not tried again. A 503 would say that
-    # it has not run, and its caller would send it again.
+    # The first engine closes the connection; meanwhile other hosts report
+    # two more crashes, so the request is not tried again. A 503 would say
+    # that it has not run, and its caller would send it again.
     forwarding = forwarder_of([hostkit.BROKEN], hostkit.RESUMABLE)
 
     def report(fingerprint, name):
@@ -335,8 +335,8 @@
 async def test_an_engine_that_hangs_is_reported_as_failed(
     waits_s, outcome_name
 ):
-    # It accepts requests and never answers, until their callers disconnect.
-    # Unless reported, it would keep getting its share of requests.
+    # The engine accepts requests and never answers, until their callers
+    # disconnect. Unless reported, it would still get its share of requests.
     hanging = hostkit.Answer([])
 
     async def read(timeout_s):
@@ -374,7 +374,7 @@
     ("fields", "first_s", "later_s"),
     [
         ({"objective_s": 0.3, "gap_s": 0.3}, 0.6, 0.24),
-        # A route of slow engines, whose requests stay where they are.
+        # A route of slow engines, whose requests are not moved.
         ({"objective_s": 5.0, "gap_s": 2.0}, 10.0, 1.6),
         ({"objective_s": 0.3, "gap_s": 0.05}, 0.6, forwarder.MIN_GAP_LIMIT_S),
         ({"objective_s": 0.3}, 0.6, forwarder.DEFAULT_GAP_LIMIT_S),
