--- a/tests/test_access.py
+++ b/tests/test_access.py
@@ -273,8 +273,10 @@
             key_hash=fields.key_hash_of(sent),
         )
         self.keys[name] = key, now
-        held = forwarder.Forwarder(parts, request, test_forwarder.Response())
-        self.ends[name] = await test_forwarder.outcome(held)
+        exchange = forwarder.Forwarder(
+            parts, request, test_forwarder.Response()
+        )
+        self.ends[name] = await test_forwarder.outcome(exchange)
 
     async def play(self):
         """Run the day."""
