--- a/tests/test_forwarder.py
+++ b/tests/test_forwarder.py
@@ -142,7 +142,7 @@
 
 
 @pytest.mark.parametrize("fault", [hostkit.BROKEN, hostkit.SILENT])
-async def test_a_resumable_stream_continues_in_the_same_answer(fault):
+async def test_a_resumable_stream_goes_on_in_the_same_answer(fault):
     # The engine fails in the middle of event 3. The caller sees one answer,
     # with the headers of the first engine and each event once.
     partial = hostkit.event(3)[:5]
@@ -196,7 +196,7 @@
     assert not forwarding.parts.crashes.reports
 
 
-async def test_a_truncated_stream_does_not_look_complete():
+async def test_a_stream_torn_at_its_end_is_not_made_to_look_whole():
     forwarding = forwarder_of([hostkit.Answer([*TWO, hostkit.event(3)[:5]])])
     assert await outcome(forwarding) == 0
     assert not forwarding.response.ended
@@ -231,7 +231,7 @@
     assert asyncio.get_running_loop().time() < 0.01
 
 
-async def test_no_slot_after_an_attempt_that_ran_is_not_refused_as_not_run():
+async def test_no_room_after_a_try_that_ran_promises_nothing():
     # The first attempt was cut off and may have run; a 503 would say that
     # the request has not run.
     forwarding = forwarder_of([hostkit.BROKEN], hostkit.RESUMABLE)
