--- a/camphortray/eventstream.py
+++ b/camphortray/eventstream.py
@@ -8,7 +8,8 @@
 from camphortray import errors
 
 EVENT_END = b"\n\n"
-# A stream that exceeds this without the end of an event is rejected.
+# A stream is rejected if more bytes than this arrive without the end of an
+# event.
 MAX_EVENT_BYTES = 1_048_576
 
 
@@ -58,8 +59,8 @@
 class Framing(abc.ABC):
     """Cuts a stream into complete events, also across several engines.
 
-    Part of an event is held back; else a stream that fails within an event
-    and resumes at another engine would show it truncated or twice.
+    An incomplete event is held back; else a stream that fails within an
+    event and resumes at another engine would repeat or truncate the event.
     """
 
     @abc.abstractmethod
@@ -113,8 +114,8 @@
     def check(self, events: list[Event]) -> None:
         """Check that each id follows the one before, and count the events.
 
-        All events are counted or none: those before a fault do not reach
-        the caller, and if counted they would be missing after a resume.
+        All events are counted or none: those before an invalid one are not
+        sent to the caller, and if counted a resumed stream would skip them.
         """
         last = self.last
         for event in events:
--- a/tests/test_eventstream.py
+++ b/tests/test_eventstream.py
@@ -11,7 +11,7 @@
     return f"id: {number}\ndata: {text}{number}\n\n".encode()
 
 
-def test_only_whole_events_are_passed_on():
+def test_only_complete_events_are_returned():
     reader = eventstream.EventReader()
     data = event(1) + event(2)
     assert reader.feed(data[:-3]) == event(1)
@@ -20,7 +20,7 @@
     assert (reader.last, reader.count) == ("2", 2)
 
 
-def test_a_stream_goes_on_behind_the_last_whole_event():
+def test_a_stream_resumes_after_the_last_complete_event():
     # An engine fails within event 3, and another resumes after event 2. The
     # caller must see event 3 once and complete.
     reader = eventstream.EventReader()
@@ -40,7 +40,7 @@
 
 
 def test_a_fault_behind_good_events_takes_none_of_them():
-    # If counted but not sent to the caller, they would be lost.
+    # Events that are counted but not sent to the caller would be lost.
     reader = eventstream.EventReader()
     reader.feed(event(1))
     with pytest.raises(errors.UpstreamBroken):
@@ -63,5 +63,5 @@
         (b": comment", eventstream.Event("", b"")),
     ],
 )
-def test_how_an_event_is_read(raw, found):
+def test_how_an_event_is_parsed(raw, found):
     assert eventstream.parse(raw) == found
