--- a/camphortray/at_most_once.py
+++ b/camphortray/at_most_once.py
@@ -2,8 +2,9 @@
 
 A call's claim is appended to the log ``calls.N`` and read back before the
 call is dispatched, and only the process that claimed it may dispatch it.
-A claim that timed out or was cancelled is never dispatched; if it was
-appended after all, it is released so that a retry can claim the call.
+A call whose claim timed out or was cancelled is never dispatched; if the
+claim was appended after all, it is released so that a retry can claim the
+call.
 """
 
 __all__ = ["AtMostOnce"]
@@ -39,19 +40,20 @@
 # Time limit for appending a claim and reading it back, in seconds.
 CLAIM_S = 3.0
 # Time limit for reading the log to its end on a retry, in seconds.
-SYNC_S = 1.0
+SYNC_TIMEOUT_S = 1.0
 # Longest that a retry waits for the answer of a call that another host
 # reports as running, in seconds.
 RETRY_WAIT_S = 5.0
 # Pause before a failed access to the log is repeated, in seconds.
-PAUSE_S = 1.0
-# Time limit for resolving an uncertain append to the log, in seconds.
-APPEND_S = 5.0
+LOG_RETRY_PAUSE_S = 1.0
+# Time limit for finding out whether an uncertain append reached the log, in
+# seconds.
+SETTLE_TIMEOUT_S = 5.0
 # New calls are refused while more bytes of answers than this are waiting
 # to be stored.
-MAX_PENDING_BYTES = 16_777_216
+MAX_PENDING_ANSWER_BYTES = 16_777_216
 # Bytes of a record reserved for an answer's status, headers and framing.
-OVERHEAD_BYTES = 8192
+ANSWER_OVERHEAD_BYTES = 8192
 
 Send = Callable[[], Awaitable[calls.Answer]]
 
@@ -244,7 +246,7 @@
         Raises:
           Refused: the claim was not confirmed by the log.
         """
-        if self.pending_bytes() > MAX_PENDING_BYTES:
+        if self.pending_bytes() > MAX_PENDING_ANSWER_BYTES:
             raise callrequest.unconfirmed("too many answers wait for the log")
         now = self.context.clock.wall()
         body = calls.CallClaim(
@@ -276,14 +278,14 @@
         """Release a claim, once it is known whether it was appended."""
         while True:
             try:
-                await shard.journal.settle(APPEND_S)
+                await shard.journal.settle(SETTLE_TIMEOUT_S)
                 earlier = shard.fold.calls.get(name)
                 if earlier is not None and earlier.writer == self.writer:
                     await shard.append(calls.ABANDON, calls.CallAbandon(name))
                 break
             except errors.LogError as error:
                 LOG.warning("Claim of call {} not released: {}", name, error)
-                await asyncio.sleep(PAUSE_S)
+                await asyncio.sleep(LOG_RETRY_PAUSE_S)
         self.releasing.discard(name)
 
     async def answer_retry(
@@ -302,7 +304,7 @@
             raise callrequest.other_request()
         answer = earlier.answer or self.pending.get(request.name)
         if answer is None:
-            await shard.sync(SYNC_S)
+            await shard.sync(SYNC_TIMEOUT_S)
             answer = await self.wait_for_answer(shard, request.name, earlier)
         if answer is None:
             raise callrequest.no_answer("no answer is known")
@@ -320,7 +322,7 @@
             if await self.probes.is_running(earlier.writer, name):
                 return await shard.answer(name, RETRY_WAIT_S)
             # The answer may have been stored while the probe was running.
-            await shard.sync(SYNC_S)
+            await shard.sync(SYNC_TIMEOUT_S)
         call = shard.fold.calls.get(name)
         return call.answer if call is not None else None
 
@@ -367,7 +369,10 @@
         self, shard: callshard.CallShard, name: str, answer: calls.Answer
     ) -> None:
         """Store an answer in the background."""
-        if len(answer.body) > shard.journal.record_limit - OVERHEAD_BYTES:
+        if (
+            len(answer.body)
+            > shard.journal.record_limit - ANSWER_OVERHEAD_BYTES
+        ):
             LOG.warning("Answer of call {} too large to store.", name)
             return
         self.pending[name] = answer
@@ -385,7 +390,7 @@
                 break
             except errors.LogError as error:
                 LOG.warning("Answer of call {} not stored: {}", name, error)
-                await asyncio.sleep(PAUSE_S)
+                await asyncio.sleep(LOG_RETRY_PAUSE_S)
         del self.pending[name]
 
     def pending_bytes(self) -> int:
@@ -411,7 +416,8 @@
         return [f"answer of {name} is not kept" for name in self.pending]
 
     async def drain(self) -> None:
-        # After an answer is lost, a retry is refused with ran "unknown".
+        # Wait for answers to be stored: a retry of a call whose answer is lost
+        # is refused with ran "unknown".
         with contextlib.suppress(TimeoutError):
             async with asyncio.timeout(self.context.config.entry.drain_s):
                 while self.tasks:
--- a/tests/test_at_most_once.py
+++ b/tests/test_at_most_once.py
@@ -86,7 +86,7 @@
 @pytest.fixture
 async def fleet(monkeypatch):
     monkeypatch.setattr(at_most_once, "CLAIM_S", 0.5)
-    monkeypatch.setattr(at_most_once, "PAUSE_S", 0.05)
+    monkeypatch.setattr(at_most_once, "LOG_RETRY_PAUSE_S", 0.05)
     monkeypatch.setattr(journal, "READ_BACK_S", 0.05)
     monkeypatch.setattr(journal, "MAX_PAUSE_S", 0.1)
     cluster = clusters.Cluster(engines=1, hosts=2)
@@ -116,7 +116,7 @@
 
 
 @pytest.mark.parametrize("host", [0, 1])
-async def test_a_resend_shares_the_end_of_a_call_under_way(fleet, host):
+async def test_a_retry_of_a_running_call_gets_the_same_answer(fleet, host):
     # The caller retries, to the same or the other host, while the service
     # is still running the call. Both requests must get the one answer; a
     # fault refused the retry with ran "unknown".
@@ -130,7 +130,7 @@
     assert second[0] == 200 and fleet.runs == {"k": 1}
 
 
-async def test_a_resend_is_not_held_back_for_an_answer_nobody_has(fleet):
+async def test_a_retry_does_not_wait_for_an_answer_that_no_host_has(fleet):
     # The service ran the call and its answer was lost. The claiming host
     # reports that the call has ended, so a retry to the other host must
     # be refused without waiting RETRY_WAIT_S.
@@ -194,7 +194,7 @@
         {"log_lose_before": 2},
     ],
 )
-async def test_lost_answers_of_the_log_do_no_harm(fleet, fault):
+async def test_lost_replies_of_the_log_do_not_run_a_call_twice(fleet, fault):
     # The log's reply to a claim is lost, after or before the append.
     for name, value in fault.items():
         fleet.faults.set(name, value)
@@ -287,7 +287,7 @@
     assert fleet.runs == {"k": 1}
 
 
-async def test_a_caller_who_goes_away_finds_the_answer_later(fleet):
+async def test_a_caller_that_disconnects_gets_the_answer_on_retry(fleet):
     # The caller disconnects while the service runs the call. The call must
     # continue and its answer be stored for a retry.
     fleet.cluster.plain.faults.set("delay_s", 0.2)
@@ -305,7 +305,7 @@
     # Hosts forward claims to the host that batches a stream's appends. When
     # that host is down but still listed, they append by themselves under
     # the same record id. The shortened CLAIM_S of the other tests is too
-    # small here: under load claims time out and the calls are refused.
+    # short here: under load claims time out and the calls are refused.
     monkeypatch.setattr(at_most_once, "CLAIM_S", 60.0)
     fleet.introduce()
     bundlers = [fleet.at_most_once_part(n).forwarder.bundlers for n in (0, 1)]
