--- a/camphortray/callshard.py
+++ b/camphortray/callshard.py
@@ -22,11 +22,11 @@
 
 LOG = logs.logger("calls")
 # Interval between removals of expired calls, in seconds.
-FORGET_S = 30.0
+FORGET_INTERVAL_S = 30.0
 # Maximum number of calls removed by one record.
-FORGET_CALLS = 1000
+MAX_FORGET_CALLS = 1000
 # Time limit for an append to the log, in seconds.
-APPEND_S = 5.0
+APPEND_TIMEOUT_S = 5.0
 
 
 class CallShard:
@@ -81,7 +81,7 @@
         )
 
     async def append(
-        self, kind: str, body: Any, timeout_s: float = APPEND_S
+        self, kind: str, body: Any, timeout_s: float = APPEND_TIMEOUT_S
     ) -> folds.Outcome:
         """Append a record under the current epoch; see ``Journal.append``."""
         fields = msgspec.to_builtins(body, builtin_types=(bytes,))
@@ -119,7 +119,7 @@
     async def forget_regularly(self) -> None:
         """Remove expired calls at regular intervals."""
         while True:
-            await asyncio.sleep(FORGET_S)
+            await asyncio.sleep(FORGET_INTERVAL_S)
             try:
                 await self.forget()
             except errors.LogError as error:
@@ -137,7 +137,9 @@
         """
         if not self.owner.owned:
             return
-        expired = self.fold.expired(self.clock.wall(), self.lost, FORGET_CALLS)
+        expired = self.fold.expired(
+            self.clock.wall(), self.lost, MAX_FORGET_CALLS
+        )
         if expired.calls:
             await self.append(calls.FORGET, expired)
 
