--- a/camphortray/claim_probe.py
+++ b/camphortray/claim_probe.py
@@ -14,7 +14,7 @@
 from camphortray import records
 
 # Time limit for the claiming host's reply, in seconds.
-ASK_S = 1.0
+REPLY_TIMEOUT_S = 1.0
 
 
 @messages.message("calls.probe")
@@ -78,7 +78,7 @@
         address = configs.Address.from_text(member.peer_address)
         probe = CallProbe(name, claimer.incarnation)
         try:
-            state = await self.links.ask_anew(address, probe, ASK_S)
+            state = await self.links.ask_anew(address, probe, REPLY_TIMEOUT_S)
         except errors.MessageError:
             return False
         return isinstance(state, CallState) and state.running
