--- a/camphortray/calls.py
+++ b/camphortray/calls.py
@@ -76,8 +76,9 @@
 class Forgotten:
     """One expired call.
 
-    The offset tells a claim from a later one of the same key: a key that
-    was released and claimed again must not be removed while its call runs.
+    The offset distinguishes a claim from a later one of the same key: a key
+    that was released and claimed again must not be removed while its call
+    runs.
     """
 
     key: str
@@ -197,7 +198,8 @@
             return ClaimStatus.VOID if call is None else ClaimStatus.OTHER
         if call is None or call.offset != outcome.offset:
             # The claim was read late, e.g. by a process that was paused
-            # until it had expired: another process may have run the call.
+            # until the claim had expired: another process may have run the
+            # call.
             return ClaimStatus.VOID
         return ClaimStatus.MINE
 
