--- a/camphortray/resume.py
+++ b/camphortray/resume.py
@@ -94,9 +94,12 @@
     Attributes:
       tail: Bytes of an incomplete event, not yet forwarded.
       raw: Forwarded events that are not yet decoded.
-      raw_size: Their size in bytes.
+      raw_size: Size of ``raw`` in bytes.
       texts: Texts of the decoded events.
-      tokens: Tokens of the decoded events.
+      tokens: Number of tokens in the decoded events.
+      finished: Whether a decoded event had a finish reason.
+      usage: Whether a decoded event had token usage.
+      resumable: As in ``Position``, for the decoded events.
       done: Whether the closing event was forwarded.
       started: Whether any event was forwarded.
       identity: Id and creation time of the first event.
--- a/tests/test_resume.py
+++ b/tests/test_resume.py
@@ -78,7 +78,7 @@
     assert (position.tokens, position.resumable) == (tokens, resumable)
 
 
-def test_an_engines_opening_and_second_end_are_not_passed_on_twice():
+def test_a_second_opening_and_finish_event_are_not_forwarded():
     sent = resume.SentStream()
     sent.feed(event("a", finish="stop"))
     sent.resume()
