--- a/camphortray/relay.py
+++ b/camphortray/relay.py
@@ -29,8 +29,8 @@
 from camphortray import web
 
 LOG = logs.logger("relay")
-IDEMPOTENT = "camphortray-idempotent"
-IDEMPOTENCY_KEY = "idempotency-key"
+IDEMPOTENT_HEADER = "camphortray-idempotent"
+IDEMPOTENCY_KEY_HEADER = "idempotency-key"
 # Statuses caused by the request itself; not counted against the service's
 # objectives.
 CALLER_FAULTS = frozenset({400, 401, 404, 413, 422})
@@ -94,7 +94,7 @@
         body = await call.request.body()
         completion = completions.parse(call.request.path, body)
         service = self.service_of(completion.model)
-        idempotent = is_idempotent(headers.get(IDEMPOTENT, "true"))
+        idempotent = is_idempotent(headers.get(IDEMPOTENT_HEADER, "true"))
         seconds = deadline.from_headers(
             headers, service.get("limit.deadline_s")
         )
@@ -122,7 +122,7 @@
     async def run(self, exchange: completing.CompletionExchange) -> None:
         """Run an exchange; at most once if non-idempotent and with a key."""
         call = exchange.call
-        key = call.request.headers.get(IDEMPOTENCY_KEY, "")
+        key = call.request.headers.get(IDEMPOTENCY_KEY_HEADER, "")
         if exchange.idempotent or not key:
             await self.run_admitted(exchange)
             return
