--- a/camphortray/deadline.py
+++ b/camphortray/deadline.py
@@ -8,8 +8,8 @@
 from camphortray import errors
 
 HEADER = "camphortray-deadline"
-# Longest time that a caller may ask for, in seconds. A request without a
-# deadline would keep its place in every queue.
+# Upper limit on the deadline that a caller sets, in seconds. Without one a
+# request could keep its place in every queue for any time.
 MAX_S = 3600.0
 
 
--- a/camphortray/forward.py
+++ b/camphortray/forward.py
@@ -23,15 +23,16 @@
     }
 )
 # Marks a forwarded request, which is not forwarded again; else two hosts
-# that take each other for the owner would forward it in a loop.
+# that each consider the other the owner would forward it in a loop.
 FORWARDED_HEADER = "camphortray-hop"
-# Replaced on each hop. A second value would be joined to the first, and the
-# call would appear to come from another workspace.
+# Headers that each hop replaces. If one were sent twice, its values would be
+# joined, and the call would appear to come from another workspace.
 OWN_HEADERS = frozenset(
     {FORWARDED_HEADER, web.HOST_KEY_HEADER, web.WORKSPACE_HEADER}
 )
 # Largest body that is read to find out which host answers, in bytes.
 MAX_SMALL_BODY_BYTES = 65_536
+# To connect, to the head of the answer, and between its pieces, in seconds.
 TIMEOUTS = httpclient.Timeouts(1.0, 120.0, 120.0)
 
 
