--- a/camphortray/access.py
+++ b/camphortray/access.py
@@ -17,7 +17,7 @@
     Attributes:
       workspace: Name of its workspace; empty where no key is needed.
       revision: Version of the configuration that it was looked up in.
-      priority: Rank of its online requests; None for that of the route.
+      priority: Rank of its online requests; None to use the route's.
     """
 
     workspace: str = ""
@@ -42,7 +42,7 @@
 
     Attributes:
       revision: Version of the configuration.
-      needs_key: Whether callers need a key, save on anonymous routes.
+      needs_key: Whether callers need a key, except on anonymous routes.
       anonymous: The caller of a request that needs no key.
       callers: Callers by name of their workspace.
       keys: Workspace names by key.
--- a/camphortray/attempt.py
+++ b/camphortray/attempt.py
@@ -19,15 +19,15 @@
         self.last: errors.LogError | None = None
 
     def on_accepted(self) -> None:
-        """Note that the log accepted it; only reading it back confirms it."""
+        """Record that the log accepted it; only a read-back confirms it."""
         self.maybe_appended = True
 
     def on_timeout(self) -> None:
-        """Note that the log did not answer in time."""
+        """Record that the log did not answer in time."""
         self.maybe_appended = True
 
     def on_error(self, error: errors.LogError) -> None:
-        """Note an error; only ``LogRefused`` means it was not appended.
+        """Record an error; only ``LogRefused`` rules out an append.
 
         A refusal does not settle an earlier attempt whose answer was lost:
         that request may still reach the log.
--- a/camphortray/callrequest.py
+++ b/camphortray/callrequest.py
@@ -50,7 +50,7 @@
 
 
 def other_request() -> errors.Refused:
-    """Return the refusal of a request whose key another one has used."""
+    """Return the refusal of a request whose key another request used."""
     return errors.Refused(
         409,
         "other_request",
--- a/camphortray/completion.py
+++ b/camphortray/completion.py
@@ -36,7 +36,7 @@
 
 
 class Completion(msgspec.Struct):
-    """The validated fields of a request; engines get all others as sent.
+    """The validated fields of a request; others are forwarded unchecked.
 
     Attributes:
       model: Name of the model.
--- a/camphortray/opaque.py
+++ b/camphortray/opaque.py
@@ -16,7 +16,7 @@
 
     Attributes:
       id: Id of this attempt of the caller; engines echo it.
-      route: The route; says where it goes and whether it is repeatable.
+      route: Route of the request; names its service and limits.
       method: HTTP method.
       target: Path and query.
       headers: The caller's headers to forward.
--- a/camphortray/retry.py
+++ b/camphortray/retry.py
@@ -14,7 +14,7 @@
 # one upstream with all its slots in use; without it a service with little
 # traffic could not move its few streams off a lost upstream.
 MIN_RETRIES = 32
-# Number of buckets into which the window is divided.
+# Number of buckets of equal length into which the window is divided.
 BUCKETS = 12
 
 
