--- a/tests/test_answer_cut.py
+++ b/tests/test_answer_cut.py
@@ -98,7 +98,9 @@
 @pytest.mark.parametrize("gaps", [PROMPT, SLOW_START, SLOW, LATE])
 @pytest.mark.parametrize("shared", [False, True])
 @pytest.mark.parametrize("count", [0, 1, 2, 3])
-def test_no_pause_cuts_off_an_answer_whose_engine_goes_on(count, shared, gaps):
+def test_no_pause_cuts_off_an_answer_that_its_engine_continues(
+    count, shared, gaps
+):
     """Silence limits on the last attempt cut off answers with time left."""
     cut = []
     begins = [step / 25 for step in range(40 if count else 1)]
