--- a/camphortray/itemdriver.py
+++ b/camphortray/itemdriver.py
@@ -131,7 +131,7 @@
             f"{accept.job}-{item.index}.{held.epoch}.{self.sent}",
             accept.path,
             bytes(line.body),
-            item.kept,
+            item.partial,
             accept.idempotent,
             lambda: isolation.fingerprint(accept.path, item),
         )
@@ -143,10 +143,10 @@
                 self.isolation.suspects.clear(attempt.fingerprint())
             self.end(held, item, "done", answer)
         except itemrun.Revoked:
-            item.kept = attempt.collector
+            item.partial = attempt.collector
             self.defer(held, item, "", 0.0)
         except errors.UpstreamError as error:
-            item.kept = attempt.collector
+            item.partial = attempt.collector
             await self.on_error(held, item, slot, attempt, error)
 
     async def write_start(self, held: Held, item: jobqueue.Item) -> bool:
--- a/tests/test_jobqueue.py
+++ b/tests/test_jobqueue.py
@@ -1,4 +1,4 @@
-"""Tests of which item runs next."""
+"""Tests of the selection of the batch item that runs next."""
 
 import collections
 
@@ -22,7 +22,7 @@
 
 
 def picks(queue, count, upstream="u", now=0.0, pace_s=0.0):
-    """Return how many items of each job come first."""
+    """Return the number of items of each job among the next ``count``."""
     items = [queue.pick("svc", upstream, now, pace_s) for _ in range(count)]
     return collections.Counter(item.job for item in items if item)
 
@@ -30,13 +30,13 @@
 @pytest.mark.parametrize(
     ("specs", "count", "shares"),
     [
-        # A giant job and a small one of the same workspace share evenly.
+        # A large and a small job of one workspace share evenly.
         (
             [("a", "w", (1, 1), None, 500), ("b", "w", (1, 1), None, 20)],
             40,
             {"a": 20, "b": 20},
         ),
-        # Three jobs of one workspace take no more than one of another.
+        # Three jobs of one workspace get as much as one of another.
         (
             [
                 ("a", "w", (1, 1), None, 50),
@@ -47,7 +47,7 @@
             48,
             {"a": 8, "b": 8, "c": 8, "d": 24},
         ),
-        # Weights of jobs, then of workspaces.
+        # Shares follow the weights of jobs, then of workspaces.
         (
             [("a", "w", (3, 1), None, 50), ("b", "w", (1, 1), None, 50)],
             40,
@@ -58,13 +58,14 @@
             40,
             {"a": 30, "b": 10},
         ),
-        # A job short of time goes first, but starves nobody.
+        # An urgent job goes first but does not starve the other.
         (
             [("a", "w", (1, 1), 10.0, 90), ("b", "x", (1, 1), None, 90)],
             40,
             {"a": 30, "b": 10},
         ),
-        # Of two short of time the one with less slack; much slack: none.
+        # Of two urgent jobs the one with less slack goes first; a job with
+        # ample slack does not.
         (
             [("a", "w", (1, 1), 90.0, 90), ("b", "w", (1, 1), 50.0, 90)],
             4,
@@ -77,18 +78,18 @@
         ),
     ],
 )
-def test_shares(specs, count, shares):
+def test_selection_follows_shares_and_urgency(specs, count, shares):
     assert picks(make(*specs), count) == shares
 
 
-def test_slack_counts_what_is_left_at_the_present_pace():
+def test_slack_counts_remaining_items_at_the_current_pace():
     queue = make(
         ("big", "w", (1, 1), 900.0, 90), ("small", "w", (1, 1), 800.0, 3)
     )
     assert picks(queue, 1, pace_s=10.0) == {"big": 1}
 
 
-def test_a_new_job_does_not_make_up_for_the_time_before_it():
+def test_a_new_job_gets_no_credit_for_the_time_before_it():
     queue = make(("a", "w", (1, 1), None, 99))
     picks(queue, 50)
     queue.add_job(jobqueue.QueuedJob("b", "svc", "x"))
@@ -105,13 +106,13 @@
             item = queue.pick("svc", upstream, 0.0)
             seen[upstream].add(item.prefix)
     assert seen == {"u": {0}, "v": {1}}
-    # When one has no more of its own it helps the other.
+    # An upstream whose own prefix is used up takes items of the other.
     assert picks(queue, 10, "u") == {"a": 4}
 
 
-def test_an_item_waits_and_keeps_away_from_what_failed_it():
-    # An upstream fails an item. It is tried again after its pause, by
-    # another upstream; by the same only if no other came for it.
+def test_a_failed_item_is_delayed_and_avoids_its_upstream():
+    # After its delay the item goes to another upstream, and to the one that
+    # failed it only once AVOID_S more have passed.
     queue = make(("a", "w", (1, 1), None, 1))
     item = queue.pick("svc", "u", 0.0)
     item.avoid, item.not_before = "u", 5.0
@@ -125,7 +126,7 @@
     assert queue.pick("svc", "u", late) is item
 
 
-def test_suspects_come_from_their_own_line_and_gone_jobs_from_none():
+def test_suspects_are_selected_and_items_of_removed_jobs_dropped():
     queue = make(("a", "w", (1, 1), None, 1))
     suspect = jobqueue.Item("a", 7, b"", crashes=1)
     queue.push(suspect, 0.0)
