--- a/camphortray/itemdriver.py
+++ b/camphortray/itemdriver.py
@@ -1,4 +1,4 @@
-"""Follows one item through its tries to its result."""
+"""Runs one batch item through its attempts to its result."""
 
 __all__ = ["Held", "ItemDriver", "reason"]
 
@@ -24,23 +24,24 @@
 from camphortray import upstreams as upstreams_module
 
 LOG = logs.logger("dispatch")
-# Longest time a slot is held for a start to be read back; then the item
-# waits without one.
-START_S = 1.0
-# Pause after a fault of our own, and until a suspect asks again for an
-# upstream of its own, in seconds.
+# How long a slot is held until the record of an item's start is read back;
+# after that the item waits for it without a slot.
+START_TIMEOUT_S = 1.0
+# Delay before an item is retried after an error of this host.
 FAULT_PAUSE_S = 0.5
-APART_PAUSE_S = 0.2
+# Delay before a suspect asks again to reserve an upstream.
+RESERVE_PAUSE_S = 0.2
 
 
 class Held:
     """A job that this host runs.
 
     Attributes:
-      job: As the fold has it.
-      outbox: Where its results go.
-      epoch: In which this host runs it.
+      job: State of the job in the fold.
+      outbox: Writes its results to the log.
+      epoch: Epoch in which this host runs it.
       space: Set whenever an item leaves the queue.
+      tasks: Running items by index.
     """
 
     def __init__(
@@ -54,14 +55,15 @@
 
 
 class ItemDriver:
-    """Runs items on slots and decides with the policy what follows.
+    """Runs items on slots and applies the retry policy.
 
     Attributes:
-      isolation: Which items may run beside which.
-      push: Queues an item again; one of a job that is gone is dropped.
-      ended: Told of each item that ends; returns whether its job is
-        still run here.
-      sent: Requests sent, which tells their ids apart.
+      isolation: Decides which items must run alone on an upstream.
+      push: Requeues an item, or drops it if its job no longer runs here.
+      ended: Called for each item that ends; returns whether its job still
+        runs here.
+      notes: Writes of starts and crashes that an item waits for.
+      sent: Number of requests sent, which makes their ids unique.
     """
 
     def __init__(
@@ -83,44 +85,55 @@
     async def run_item(
         self, held: Held, item: jobqueue.Item, slot: slots_module.Slot
     ) -> None:
-        """Run one item, apart from others if it is suspect."""
+        """Run one item, in isolation if it is suspected of crashes."""
         try:
             accept = held.job.accept
             service = self.tree.view.services[accept.service]
-            told = self.isolation.verdict(service, accept.path, item)
-            if told.standing is poison.Standing.QUARANTINED:
+            verdict = self.isolation.verdict(service, accept.path, item)
+            if verdict.standing is poison.Standing.QUARANTINED:
                 self.end(held, item, "failed", reason("has crashed upstreams"))
-            elif told.standing is poison.Standing.ISOLATED:
-                await self.run_apart(held, item, slot, told.at)
+            elif verdict.standing is poison.Standing.ISOLATED:
+                await self.run_isolated(held, item, slot, verdict.at)
             else:
                 await self.run_once(held, item, slot)
         except errors.CamphortrayError as error:
-            LOG.error("Item {} of {}: {}", item.index, item.job, error)
+            LOG.error(
+                "Item {} of job {} is retried after an error: {}",
+                item.index,
+                item.job,
+                error,
+            )
             self.defer(held, item, "", FAULT_PAUSE_S)
 
-    async def run_apart(
+    async def run_isolated(
         self,
         held: Held,
         item: jobqueue.Item,
         slot: slots_module.Slot,
         at: float,
     ) -> None:
-        """Run a suspect where no other suspect and no item of ours is."""
+        """Run a suspect apart from other suspects and this host's items.
+
+        Args:
+          at: Wall-clock time before which it may not run.
+        """
         wait_s = at - self.context.clock.wall()
         if wait_s > 0:
             self.defer(held, item, "", wait_s)
             return
         holder = f"{item.job}-{item.index}.{self.sent}"
-        async with self.isolation.reserve(slot.upstream.name, holder) as alone:
-            if alone:
+        async with self.isolation.reserve(
+            slot.upstream.name, holder
+        ) as reserved:
+            if reserved:
                 await self.run_once(held, item, slot)
             else:
-                self.defer(held, item, "", APART_PAUSE_S)
+                self.defer(held, item, "", RESERVE_PAUSE_S)
 
     async def run_once(
         self, held: Held, item: jobqueue.Item, slot: slots_module.Slot
     ) -> None:
-        """Try an item and see to what follows."""
+        """Attempt an item once and handle the outcome."""
         if not await self.write_start(held, item):
             return
         accept = held.job.accept
@@ -150,10 +163,10 @@
             await self.on_error(held, item, slot, attempt, error)
 
     async def write_start(self, held: Held, item: jobqueue.Item) -> bool:
-        """See the start of a non-idempotent item read back.
+        """Write the start of a non-idempotent item and wait for its read-back.
 
         Returns:
-          Whether it may be sent now.
+          Whether the item may be sent now.
         """
         if held.job.accept.idempotent or item.started:
             return True
@@ -161,20 +174,22 @@
             held.outbox.note(jobs.START, item.job, (item.index,))
         )
         try:
-            async with asyncio.timeout(START_S):
+            async with asyncio.timeout(START_TIMEOUT_S):
                 return self.may_send(held, item, await asyncio.shield(note))
         except TimeoutError:
-            # The log is slow or away: wait without keeping the slot.
+            # The log is slow or unavailable: release the slot while waiting.
             self.notes.add(note)
-            note.add_done_callback(lambda _: self.on_start(held, item, note))
+            note.add_done_callback(
+                lambda _: self.on_start_written(held, item, note)
+            )
             return False
 
     def may_send(self, held: Held, item: jobqueue.Item, valid: bool) -> bool:
-        """Return whether a start is this host's own.
+        """Return whether this host started an item; end it if not.
 
-        The first append may have been given up and yet have landed; the
-        second is then refused. In this epoch nobody but this dispatcher
-        sends the item, and it has not.
+        An append that timed out may still have been written, and the fold
+        then refuses the repetition. A start of this epoch is still valid:
+        only this host sends the item in it, and has not yet sent it.
         """
         item.started = valid or (
             held.job.started.get(item.index) == held.epoch
@@ -183,10 +198,10 @@
             self.end(held, item, "unknown", reason("started before"))
         return item.started
 
-    def on_start(
+    def on_start_written(
         self, held: Held, item: jobqueue.Item, note: "asyncio.Future[bool]"
     ) -> None:
-        """Queue an item again whose start came late."""
+        """Requeue an item whose start was read back late."""
         self.notes.discard(note)
         if note.cancelled():
             return
@@ -201,9 +216,15 @@
         attempt: itemrun.Try,
         error: errors.UpstreamError,
     ) -> None:
-        """Do what the policy decides."""
+        """Apply the retry policy to a failed attempt."""
         upstream = slot.upstream
-        LOG.info("Item {} of {}: {}", item.index, item.job, error)
+        LOG.info(
+            "Item {} of job {} failed on upstream {}: {}",
+            item.index,
+            item.job,
+            upstream.name,
+            error,
+        )
         if isinstance(error, errors.UpstreamRefused) and error.leaving:
             self.upstreams.note_leaving(upstream.name)
         accept = held.job.accept
@@ -225,14 +246,14 @@
             case itempolicy.Unknown(why):
                 self.end(held, item, "unknown", reason(why))
             case itempolicy.Crash(pause_s):
-                # Read back before the next try, so that a host that takes
-                # over does not begin to count anew.
+                # The crash is read back before the next attempt, so that a
+                # host that takes over continues the count.
                 note = asyncio.ensure_future(
                     held.outbox.note(jobs.CRASH, item.job, (item.index,))
                 )
                 self.notes.add(note)
                 note.add_done_callback(
-                    lambda _: self.on_crash(
+                    lambda _: self.on_crash_written(
                         held, item, upstream.name, pause_s, note
                     )
                 )
@@ -241,7 +262,7 @@
                 item.refusals = 0 if error.ran else item.refusals + 1
                 self.defer(held, item, upstream.name, pause_s)
 
-    def on_crash(
+    def on_crash_written(
         self,
         held: Held,
         item: jobqueue.Item,
@@ -249,7 +270,7 @@
         pause_s: float,
         note: "asyncio.Future[bool]",
     ) -> None:
-        """Queue an item again whose crash is written."""
+        """Requeue an item after its crash was written."""
         self.notes.discard(note)
         if not note.cancelled():
             item.crashes += 1
@@ -258,7 +279,11 @@
     def defer(
         self, held: Held, item: jobqueue.Item, avoid: str, pause_s: float
     ) -> None:
-        """Queue an item again after a pause."""
+        """Requeue an item to be retried after ``pause_s``.
+
+        Args:
+          avoid: Upstream that the retry should avoid, or empty.
+        """
         item.avoid = avoid
         item.not_before = self.context.clock.monotonic() + pause_s
         self.push(held, item)
@@ -270,7 +295,7 @@
         status: Any,
         body: bytes,
     ) -> None:
-        """Hand a result over to be written."""
+        """End an item and pass its result to the outbox."""
         if not self.ended(held, item):
             return
         service = held.job.accept.service
@@ -285,5 +310,5 @@
 
 
 def reason(text: str) -> bytes:
-    """Return the body of a result that is no answer."""
+    """Return the body of a result that has an error instead of an answer."""
     return msgspec.json.encode({"error": {"message": text}})
