--- a/camphortray/itemrun.py
+++ b/camphortray/itemrun.py
@@ -1,4 +1,4 @@
-"""Runs one item on one upstream and keeps what it gave."""
+"""Runs one batch item on one upstream and collects its answer."""
 
 __all__ = ["ItemRunner", "Revoked", "Try"]
 
@@ -26,21 +26,21 @@
 
 
 class Revoked(Exception):
-    """The slot was taken back; the tokens so far are kept."""
+    """The slot was revoked; the collector keeps the partial answer."""
 
 
 @dataclasses.dataclass(slots=True, eq=False)
 class Try:
-    """An item on its way through one or more upstreams.
+    """The attempts of an item, each of which resumes the one before.
 
     Attributes:
-      id: Unique for each time it is sent.
-      path: Interface.
-      body: Body of the request, as the caller wrote it.
-      collector: What has come so far.
-      idempotent: Whether it may be cancelled and run on elsewhere.
-      fingerprint: Gives what identifies the request.
-      crashed: Whether the upstream of the last try crashed.
+      id: Request id, unique for each time the item is sent.
+      path: API path of the request.
+      body: Request body as the caller sent it.
+      collector: Partial answer received so far.
+      idempotent: Whether it may be cancelled and resumed elsewhere.
+      fingerprint: Returns the request's fingerprint for crash reports.
+      crashed: Whether the upstream of the last attempt crashed.
     """
 
     id: str
@@ -52,11 +52,11 @@
     crashed: bool = False
 
     def request(self) -> engine.EngineRequest:
-        """Return the request that goes on where the last one stopped."""
-        held = self.collector
-        if not held.resumable or not held.text:
-            held = self.collector = collector.Collector()
-        held.restart()
+        """Return a request that resumes the partial answer, if it can be."""
+        partial = self.collector
+        if not partial.resumable or not partial.text:
+            partial = self.collector = collector.Collector()
+        partial.restart()
         data: dict[str, Any] = msgspec.json.decode(self.body)
         data["stream"] = True
         data["stream_options"] = STREAM_OPTIONS
@@ -65,14 +65,18 @@
             self.path,
             msgspec.json.encode(data),
             True,
-            resume_text=held.text,
-            resume_tokens=held.tokens,
+            resume_text=partial.text,
+            resume_tokens=partial.tokens,
             batch=True,
         )
 
 
 class ItemRunner:
-    """Sends items to engines; answers are streamed so tokens are kept."""
+    """Sends items to engines.
+
+    Answers are streamed, so that a cut answer can be resumed behind the
+    tokens already received.
+    """
 
     def __init__(self, context: kernel.Context) -> None:
         self.context = context
@@ -89,36 +93,44 @@
         slot: slots_module.Slot,
         fresh: bool = False,
     ) -> bytes:
-        """Run to the end and return the whole completion.
+        """Run an item to its end and return the whole completion.
+
+        Args:
+          service: Service of the item.
+          attempt: The item; its collector keeps a partial answer on errors.
+          slot: Slot to run on.
+          fresh: Whether to open a new connection.
 
         Raises:
-          UpstreamError: no answer; what came is kept in the collector.
-          Revoked: the slot was taken back.
+          UpstreamError: The upstream did not answer in full.
+          Revoked: The slot was revoked.
         """
         upstream = slot.upstream
         labels = service.name, upstream.name, True
-        attempt.crashed = good = False
+        attempt.crashed = answered = False
         flight = self.suspects.begin(upstream, attempt.fingerprint)
         self.signals.begun(*labels)
         try:
             with self.upstreams.count(upstream):
-                answer = await self.watched(service, attempt, slot, fresh)
-            good = True
+                answer = await self.run_until_revoked(
+                    service, attempt, slot, fresh
+                )
+            answered = True
             self.upstreams.outliers.succeeded(upstream.name)
             return answer
         except errors.UpstreamError as error:
-            attempt.crashed = await self.look_at(flight, error)
+            attempt.crashed = await self.check_crash(flight, error)
             raise
         finally:
             self.suspects.end(flight)
-            self.signals.ended(*labels, good)
+            self.signals.ended(*labels, answered)
 
-    async def look_at(
+    async def check_crash(
         self,
         flight: suspects_module.InFlightRequest,
         error: errors.UpstreamError,
     ) -> bool:
-        """Return whether a failure means that the upstream crashed."""
+        """Record an upstream's failure; return whether it crashed."""
         refused = isinstance(error, errors.UpstreamRefused)
         if refused or not isinstance(error, errors.UpstreamBroken):
             return False
@@ -127,19 +139,19 @@
             return False
         return await self.suspects.is_crash(flight)
 
-    async def watched(
+    async def run_until_revoked(
         self,
         service: settings.Service,
         attempt: Try,
         slot: slots_module.Slot,
         fresh: bool,
     ) -> bytes:
-        """Run until done, or until the slot is taken back."""
+        """Run until the answer is complete or the slot is revoked."""
         loop = asyncio.get_running_loop()
         run = loop.create_task(self.stream(service, attempt, slot, fresh))
         waits: set[asyncio.Task[Any]] = {run}
         if attempt.idempotent:
-            # A call that may run once cannot be stopped and run on.
+            # A non-idempotent item must not be cancelled and run again.
             waits.add(loop.create_task(slot.revoked.wait()))
         try:
             await asyncio.wait(waits, return_when=asyncio.FIRST_COMPLETED)
@@ -158,43 +170,45 @@
         slot: slots_module.Slot,
         fresh: bool,
     ) -> bytes:
-        """Read one answer to its end."""
+        """Stream one answer into the collector and return its body."""
         upstream = slot.upstream
-        party = self.backends.engine(upstream.plugin)
+        backend = self.backends.engine(upstream.plugin)
         clock = self.context.clock
         silence = service.get("limit.silence_s")
         request = attempt.request()
-        held = attempt.collector
-        last = clock.monotonic()
-        on_token = self.signals.first_token
+        partial = attempt.collector
+        last_at = clock.monotonic()
+        signal_token = self.signals.first_token
         try:
             async with asyncio.timeout(service.get("limit.deadline_s")):
-                stream = await party.open(upstream, request, fresh)
+                stream = await backend.open(upstream, request, fresh)
             try:
                 while data := await stream.read(silence):
-                    held.feed(data)
+                    partial.feed(data)
                     now = clock.monotonic()
-                    on_token(service.name, upstream.name, True, now - last)
-                    on_token, last = self.signals.next_token, now
+                    signal_token(
+                        service.name, upstream.name, True, now - last_at
+                    )
+                    signal_token, last_at = self.signals.next_token, now
             finally:
                 stream.close()
-            if not held.complete:
+            if not partial.complete:
                 raise errors.UpstreamBroken(
                     "ended early", ran=True, step="read", peer=upstream.name
                 )
-            return held.body()
+            return partial.body()
         except TimeoutError as error:
-            self.cancel_soon(upstream, request.id)
+            self.start_cancel(upstream, request.id)
             raise errors.UpstreamTimeout(
                 "no answer in time", ran=True, step="open", peer=upstream.name
             ) from error
         except (errors.UpstreamBroken, asyncio.CancelledError):
-            # The engine may know nothing of the closed connection.
-            self.cancel_soon(upstream, request.id)
+            # The engine may not notice that the connection was closed.
+            self.start_cancel(upstream, request.id)
             raise
 
-    def cancel_soon(self, upstream: engine.Upstream, request_id: str) -> None:
-        """Tell the engine, without waiting for it."""
+    def start_cancel(self, upstream: engine.Upstream, request_id: str) -> None:
+        """Cancel a request at the engine in the background."""
         task = asyncio.get_running_loop().create_task(
             self.cancel(upstream, request_id)
         )
@@ -202,14 +216,14 @@
         task.add_done_callback(self.cancels.discard)
 
     async def cancel(self, upstream: engine.Upstream, request_id: str) -> None:
-        """Cancel at the engine, on a connection of its own."""
+        """Cancel a request at the engine, over a separate connection."""
         try:
-            party = self.backends.engine(upstream.plugin)
-            await party.cancel(upstream, request_id)
+            backend = self.backends.engine(upstream.plugin)
+            await backend.cancel(upstream, request_id)
         except errors.UpstreamError as error:
-            LOG.debug("Not cancelled: {}", error)
+            LOG.debug("Request not cancelled at its engine: {}", error)
 
     async def stop(self) -> None:
-        """Wait until engines have been sent all cancels."""
+        """Wait up to 2 s until all cancels have been sent to the engines."""
         if self.cancels:
             await asyncio.wait(self.cancels, timeout=2.0)
