--- a/camphortray/job_reader.py
+++ b/camphortray/job_reader.py
@@ -1,8 +1,8 @@
-"""Reads the lines of a job as they come and checks each.
+"""Reads and checks the lines of a job while they are uploaded.
 
-A line is one JSON object: either the body of a request as it stands, or
-``{"body": {...}}``, to which ``custom_id``, ``method`` and ``url`` may be
-added as in OpenAI's batch files. An object with a ``body`` is the second.
+A line is one JSON object: a request body, or, if it has a ``body`` field, a
+request as in OpenAI's batch files, whose ``custom_id``, ``method`` and ``url``
+are optional.
 """
 
 __all__ = [
@@ -22,9 +22,10 @@
 
 from camphortray import errors
 
-# Largest item, in bytes.
+# Largest size of an item.
 MAX_ITEM_BYTES = 262_144
-# Characters of a prompt that say whether an engine's cache may serve it.
+# Length of the start of a prompt that two items must share to be run on the
+# same upstream for its cache.
 PREFIX_CHARS = 512
 
 
@@ -32,8 +33,8 @@
     """One line of a job.
 
     Attributes:
-      body: JSON of the request's body.
-      custom_id: The caller's own id, or empty.
+      body: Request body as JSON.
+      custom_id: Id given by the caller, or empty.
       method, url: As in OpenAI's batch files, or empty.
     """
 
@@ -44,7 +45,7 @@
 
 
 class Body(msgspec.Struct, frozen=True):
-    """What is looked at in the body of a request."""
+    """Fields of a request body that are read here."""
 
     model: str = ""
     messages: tuple[Any, ...] = ()
@@ -52,10 +53,10 @@
 
 
 def parse_line(data: bytes) -> tuple[Line, Body]:
-    """Return a line and what its body says.
+    """Decode a line and the fields read from its body.
 
     Raises:
-      ValueError: it is no item; the text says why.
+      ValueError: The line is not a valid item; the text says why.
     """
     try:
         fields = msgspec.json.decode(data, type=dict[str, msgspec.Raw])
@@ -71,7 +72,10 @@
 
 
 def prefix_of(body: Body) -> int:
-    """Return a hash of the model and the start of the prompt."""
+    """Return a hash of the model and the start of the prompt.
+
+    Of a chat request only the first message counts.
+    """
     start: Any = body.prompt
     if body.messages:
         first = body.messages[0]
@@ -84,7 +88,7 @@
     """Checks the lines of a job.
 
     Attributes:
-      path: Interface of the job, to which ``url`` must agree.
+      path: API path that each ``url`` must match, or empty for any.
     """
 
     def __init__(self, path: str = "") -> None:
@@ -94,7 +98,7 @@
         """Check one line.
 
         Raises:
-          Refused: with the line number.
+          Refused: The line is not valid; the error has its number.
         """
         if line.method not in ("", "POST"):
             raise bad_line(number, f"method {line.method!r} is not POST")
@@ -103,11 +107,13 @@
 
 
 class FileCheck(LineCheck):
-    """Checks the lines of an input file, before its batch is known.
+    """Checks the lines of an input file, before a batch uses it.
 
     Attributes:
-      path: Taken from the first line; the others must agree.
-      model: Of the first line.
+      path: API path of the first line, which the others must match.
+      paths: API paths allowed.
+      model: Model of the first line.
+      seen: Hashes of the ``custom_id`` of all lines so far.
     """
 
     def __init__(self, paths: tuple[str, ...]) -> None:
@@ -123,21 +129,21 @@
                 raise bad_line(number, f"url {line.url!r} is not {allowed}")
             self.path, self.model = line.url, body.model
         super().check(line, body, number)
-        mark = xxhash.xxh64_intdigest(line.custom_id.encode())
-        if not line.custom_id or mark in self.seen:
+        id_hash = xxhash.xxh64_intdigest(line.custom_id.encode())
+        if not line.custom_id or id_hash in self.seen:
             raise bad_line(number, "custom_id is missing or not unique")
-        self.seen.add(mark)
+        self.seen.add(id_hash)
 
 
 def bad_line(number: int, reason: str) -> errors.Refused:
-    """Return the refusal of a whole job for one line."""
+    """Return the refusal of a job or file with an invalid line."""
     return errors.Refused(
         400, "bad_line", f"line {number}: {reason}", field=f"line {number}"
     )
 
 
 class LineReader:
-    """Splits bytes into lines; blank lines are passed over.
+    """Splits bytes into lines and checks them; skips blank lines.
 
     >>> reader = LineReader()
     >>> [item for _, item in reader.feed(b'{"a":1}\\n{"b"')]
@@ -151,30 +157,34 @@
     ) -> None:
         self.check = check or LineCheck()
         self.limit = limit
-        self.rest = b""
+        self.remainder = b""
         self.number = 0
 
     def feed(
         self, data: bytes, last: bool = False
     ) -> Iterator[tuple[int, bytes]]:
-        """Yield line number and item for each line now whole.
+        """Yield number and text of each line that is now complete.
+
+        Args:
+          data: The next bytes.
+          last: Whether no more bytes follow.
 
         Raises:
-          Refused: a line is no item; the error has its number.
+          Refused: A line is not a valid item; the error has its number.
         """
-        lines = (self.rest + data).split(b"\n")
-        self.rest = b"" if last else lines.pop()
+        lines = (self.remainder + data).split(b"\n")
+        self.remainder = b"" if last else lines.pop()
         for line in lines:
             self.number += 1
             line = line.strip()
             if line:
-                self.look(line)
+                self.check_line(line)
                 yield self.number, line
-        if len(self.rest) > self.limit:
+        if len(self.remainder) > self.limit:
             raise bad_line(self.number + 1, f"longer than {self.limit} bytes")
 
-    def look(self, line: bytes) -> None:
-        """Check one line."""
+    def check_line(self, line: bytes) -> None:
+        """Check the size, syntax and fields of one line."""
         if len(line) > self.limit:
             raise bad_line(self.number, f"longer than {self.limit} bytes")
         try:
--- a/tests/test_job_reader.py
+++ b/tests/test_job_reader.py
@@ -1,4 +1,4 @@
-"""Tests of lines, parameters and forms as callers send them."""
+"""Tests of parsing job lines, job parameters and multipart forms."""
 
 import pytest
 
@@ -20,7 +20,7 @@
 
 
 @pytest.mark.parametrize("size", [1, 9, 1000])
-def test_lines_are_numbered_whatever_the_pieces(size):
+def test_lines_are_numbered_however_the_data_is_split(size):
     data = GOOD + b"\r\n\n" + WRAPPED + b"\n" + GOOD
     assert read(data, size=size) == [(1, GOOD), (3, WRAPPED), (4, GOOD)]
     line, body = job_reader.parse_line(WRAPPED)
@@ -60,19 +60,22 @@
     assert reason in caught.value.message and caught.value.ran == "no"
 
 
-def test_prefixes_tell_models_and_beginnings_apart():
-    def of(model, text):
+def test_prefix_hash_depends_on_model_and_start_of_prompt():
+    def prefix_of(model, text):
         return job_reader.prefix_of(
             job_reader.Body(model, ({"role": "system", "content": text},))
         )
 
     long = "x" * job_reader.PREFIX_CHARS
-    assert of("m", long + "a") == of("m", long + "b")
-    assert len({of("m", "a"), of("m", "b"), of("n", "a")}) == 3
+    assert prefix_of("m", long + "a") == prefix_of("m", long + "b")
+    assert (
+        len({prefix_of("m", "a"), prefix_of("m", "b"), prefix_of("n", "a")})
+        == 3
+    )
 
 
-class Fake:
-    """A service of which only settings are asked."""
+class FakeService:
+    """A service with a kind and job settings."""
 
     name = "svc"
 
@@ -101,8 +104,8 @@
         ({}, {"idempotency-key": "k" * 300}, "Idempotency-Key"),
     ],
 )
-def test_a_wrong_field_is_named(query, headers, field):
-    services = {"svc": Fake(), "plain": Fake("plain")}
+def test_the_refusal_names_the_invalid_parameter(query, headers, field):
+    services = {"svc": FakeService(), "plain": FakeService("plain")}
     headers = {"idempotency-key": "k", **headers}
     with pytest.raises(errors.Refused) as caught:
         jobparams.JobParams.from_request(
@@ -111,11 +114,11 @@
     assert caught.value.field == field
 
 
-def test_fields_that_are_not_given_come_from_the_settings():
+def test_parameters_not_given_default_to_settings():
     params = jobparams.JobParams.from_request(
         {"service": "svc", "due": "60", "idempotent": "false"},
         {"idempotency-key": "k"},
-        {"svc": Fake()},
+        {"svc": FakeService()},
     )
     assert (params.due_s, params.keep_s, params.weight) == (60, 9, 2)
     assert not params.idempotent
@@ -127,7 +130,7 @@
 
 
 @pytest.mark.parametrize("size", [1, 3, 50, 10_000])
-def test_a_form_is_read_in_any_pieces(size):
+def test_a_form_is_parsed_however_the_data_is_split(size):
     file = b"{}\r\n--not\r\n-\r\n--c"
     data = form(
         (b"purpose", b"", b"batch"),
@@ -149,6 +152,6 @@
 
 
 @pytest.mark.parametrize("text", ["", "text/plain", "multipart/form-data"])
-def test_what_is_no_form_is_refused(text):
+def test_a_content_type_without_form_boundary_is_refused(text):
     with pytest.raises(errors.Refused):
         multipart.Form.from_content_type(text)
