--- a/camphortray/job_writer.py
+++ b/camphortray/job_writer.py
@@ -1,4 +1,4 @@
-"""Takes the lines of a job or file and writes them in chunks."""
+"""Writes the lines of an uploaded job or file to the log in chunks."""
 
 __all__ = ["JobWriter", "Taken"]
 
@@ -15,22 +15,23 @@
 from camphortray import logs
 
 LOG = logs.logger("jobs")
-# Most bytes of items in one record; smaller where the log allows less.
+# Target size of the items in one record, unless the log's limit is lower.
 CHUNK_BYTES = 262_144
-# What an item adds to a record besides its bytes, at most.
-ITEM_OVERHEAD = 8
-DROP_S = 2.0
+# Upper bound of the encoding overhead of an item in a record.
+ITEM_OVERHEAD_BYTES = 8
+# How long an append of a drop record may take.
+DROP_TIMEOUT_S = 2.0
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Taken:
-    """What has been taken.
+    """Summary of a complete upload.
 
     Attributes:
-      upload: Number of the upload.
-      count: Items.
-      size: Bytes of the lines with their ends.
-      digest: Of all lines.
+      upload: Number of the upload on its shard.
+      count: Number of items.
+      size: Bytes of all items, each with a newline.
+      digest: Hash of all items, each with a newline.
     """
 
     upload: int
@@ -40,10 +41,12 @@
 
 
 class JobWriter:
-    """One taking; nothing counts until the whole is accepted.
+    """One upload; its chunks have no effect until the job is accepted.
 
     Attributes:
-      store: False only digests, for a job that is there already.
+      store: Whether to write chunks; if not, the items are only counted and
+        hashed, to compare them with a job that exists already.
+      limit: Bytes of items after which a chunk is written.
     """
 
     def __init__(
@@ -68,16 +71,16 @@
         self.upload = shard.uploads
         self.count = 0
         self.size = 0
-        self.held: list[bytes] = []
-        self.held_bytes = 0
-        self.written = 0
+        self.buffered: list[bytes] = []
+        self.buffered_bytes = 0
+        self.chunks_written = 0
 
     async def take(self, body: AsyncIterator[bytes]) -> Taken:
-        """Take a whole body.
+        """Read a whole body and write its items.
 
         Raises:
-          Refused: a line is no item, there are too many or none, or the
-            log does not take them; nothing was accepted.
+          Refused: A line is invalid, there are no or too many items, or the
+            log does not accept them; nothing was accepted.
         """
         try:
             async for data in body:
@@ -85,7 +88,7 @@
                     await self.add(item)
             for _, item in self.reader.feed(b"", last=True):
                 await self.add(item)
-            if self.held:
+            if self.buffered:
                 await self.flush()
             if not self.count:
                 raise errors.Refused(400, "empty", "no items", field="(body)")
@@ -97,7 +100,7 @@
         )
 
     async def add(self, item: bytes) -> None:
-        """Add one item; write a chunk when there is enough."""
+        """Add one item; write a chunk if the limit is reached."""
         self.count += 1
         if self.count > self.max_items:
             raise errors.Refused(
@@ -110,22 +113,24 @@
         self.digest.update(item + b"\n")
         if not self.store:
             return
-        self.held.append(item)
-        self.held_bytes += len(item) + ITEM_OVERHEAD
-        if self.held_bytes >= self.limit:
+        self.buffered.append(item)
+        self.buffered_bytes += len(item) + ITEM_OVERHEAD_BYTES
+        if self.buffered_bytes >= self.limit:
             await self.flush()
 
     async def flush(self) -> None:
-        """Write a chunk and see it read back."""
+        """Write the buffered items as a chunk and wait for its read-back."""
         if not self.store:
             return
-        first = self.count - len(self.held)
-        chunk = jobs.JobChunk(self.job, self.upload, first, tuple(self.held))
-        self.held, self.held_bytes = [], 0
+        first = self.count - len(self.buffered)
+        chunk = jobs.JobChunk(
+            self.job, self.upload, first, tuple(self.buffered)
+        )
+        self.buffered, self.buffered_bytes = [], 0
         try:
             outcome = await self.shard.append(jobs.CHUNK, chunk)
         except errors.LogError as error:
-            # No accept was written, so nothing of the job can ever run.
+            # No accept record was written, so no item of the job can run.
             raise no_log(error) from error
         if not outcome.valid:
             raise errors.Refused(
@@ -134,20 +139,24 @@
                 f"chunk is void: {outcome.verdict.value} {outcome.reason}",
                 retry_after=1,
             )
-        self.written += 1
+        self.chunks_written += 1
 
     async def drop(self) -> None:
-        """Let the fold forget the chunks."""
-        if not self.written:
+        """Write a record that makes the fold forget the chunks."""
+        if not self.chunks_written:
             return
         drop = jobs.JobDrop(self.job, self.upload)
         try:
-            await self.shard.append(jobs.DROP, drop, DROP_S)
+            await self.shard.append(jobs.DROP, drop, DROP_TIMEOUT_S)
         except errors.LogError as error:
-            # The next epoch clears it.
-            LOG.info("Upload of {} not dropped: {}", self.job, error)
+            # The fold clears the upload at the next epoch.
+            LOG.info(
+                "Chunks of the upload of job or file {} were not dropped: {}",
+                self.job,
+                error,
+            )
 
 
 def no_log(error: errors.LogError) -> errors.Refused:
-    """Return the refusal of new work while the log is away."""
+    """Return the refusal of new work while the log is unavailable."""
     return errors.Refused(503, "log_down", str(error), retry_after=5)
