--- a/camphortray/jobstate.py
+++ b/camphortray/jobstate.py
@@ -1,4 +1,4 @@
-"""State of one batch job, one input file and one upload."""
+"""State of a batch job, an input file and an upload, as the fold has it."""
 
 __all__ = [
     "InputFile",
@@ -24,12 +24,12 @@
 
 from camphortray import jobrecords
 
-# Entry of an item without a result; others are record number plus one.
+# Entry in ``Job.results`` of an item without a result.
 NO_RESULT = 0
 
 
 class JobStatus(enum.StrEnum):
-    """Where a job stands."""
+    """Whether a job runs or how it ended."""
 
     RUNNING = "running"
     FINISHED = "finished"
@@ -37,14 +37,14 @@
 
 
 def job_id(workspace: str, key: str) -> str:
-    """Return the id of a workspace's job; the same key, the same job."""
+    """Return the id of the job that a workspace submits under a key."""
     return xxhash.xxh3_128_hexdigest(f"{workspace}\0{key}".encode())
 
 
 def shard_of(job: str, count: int) -> int:
-    """Return the shard of a job or file; its id alone tells it.
+    """Return the shard of a job or file, which depends on its id only.
 
-    The leading 16 digits decide, so that a batch can be given an id in
+    Only the leading 16 digits count, so that a batch can be given an id in
     the shard of its input file.
 
     >>> shard_of("00000000000000050000000000000000", 4)
@@ -58,14 +58,15 @@
     """One accepted job.
 
     Attributes:
-      accept: As accepted.
-      chunks: Offset of the record and index of its first item, in order.
+      accept: Record that accepted the job.
+      chunks: For each chunk the offset of its record and the index of its
+        first item, in order.
       results: For each item the number of its result's record in
-        ``records`` plus one, or ``NO_RESULT``; four bytes an item.
-      records: Offsets of the records with results, as they came.
-      started: Non-idempotent items dispatched, with the epoch.
-      crashes: Crashes by item.
-      done, failed, unknown: Numbers of items that ended so.
+        ``records`` plus one, or ``NO_RESULT``; four bytes per item.
+      records: Offsets of the records with results, in order of arrival.
+      started: Epoch in which a non-idempotent item was started, by item.
+      crashes: Number of upstream crashes, by item.
+      done, failed, unknown: Number of items that ended with this status.
       cancelled: Whether it was cancelled.
       last_at: When its last result was written, seconds since 1970.
       ended_at: When it ended, seconds since 1970, or 0.
@@ -93,7 +94,7 @@
 
     @property
     def status(self) -> JobStatus:
-        """Where the job stands."""
+        """Status, derived from the results and the cancellation."""
         if self.cancelled:
             return JobStatus.CANCELLED
         if self.ended == self.accept.count:
@@ -105,7 +106,7 @@
         return self.results[item] != NO_RESULT
 
     def take(self, number: int, result: jobrecords.ItemResult) -> None:
-        """Count the first result of an item, in record ``number``."""
+        """Count the first result of an item, in ``records[number]``."""
         self.results[result.item] = number + 1
         self.started.pop(result.item, None)
         self.crashes.pop(result.item, None)
@@ -117,10 +118,14 @@
             self.unknown += 1
 
     def move(self, of: int, offset: int) -> bool:
-        """Note that a record now stands at ``offset`` as well."""
+        """Refer to record ``of`` at ``offset``, where it was copied.
+
+        Returns:
+          Whether the job refers to the record.
+        """
         moved = False
-        for index, (held, first) in enumerate(self.chunks):
-            if held == of:
+        for index, (current, first) in enumerate(self.chunks):
+            if current == of:
                 self.chunks[index] = (offset, first)
                 moved = True
         if of in self.records:
@@ -131,10 +136,10 @@
 
 @dataclasses.dataclass(slots=True)
 class InputFile:
-    """A file kept for later batches.
+    """A file stored for later batches.
 
     Attributes:
-      accept: As accepted.
+      accept: Record that accepted the file.
       chunks: As in ``Job``.
     """
 
@@ -144,19 +149,24 @@
 
 @dataclasses.dataclass(slots=True)
 class Upload:
-    """Chunks taken before a job is accepted."""
+    """Chunks written before their job or file is accepted.
+
+    Attributes:
+      count: Number of items.
+      chunks: As in ``Job``.
+    """
 
     count: int = 0
     chunks: list[tuple[int, int]] = dataclasses.field(default_factory=list)
 
 
 def pairs(raw: Any) -> list[tuple[int, int]]:
-    """Return chunks as the fold holds them."""
+    """Return the chunks of a snapshot as pairs of offset and first item."""
     return [(offset, first) for offset, first in raw]
 
 
 def dump_job(job: Job) -> dict[str, Any]:
-    """Return a job as plain data."""
+    """Return a job as plain data for a snapshot."""
     return {
         "accept": dataclasses.asdict(job.accept),
         "chunks": [list(chunk) for chunk in job.chunks],
@@ -171,7 +181,7 @@
 
 
 def load_job(raw: dict[str, Any]) -> Job:
-    """Build a job from what ``dump_job`` gave."""
+    """Build a job from the data that ``dump_job`` returned."""
     results = array.array("I")
     results.frombytes(zlib.decompress(raw["results"]))
     done, failed, unknown = raw["counts"]
