--- a/camphortray/jobparams.py
+++ b/camphortray/jobparams.py
@@ -1,4 +1,4 @@
-"""Reads what a caller asks for a job out of query and headers."""
+"""Parses the parameters of a new job from query and headers."""
 
 __all__ = ["JobParams"]
 
@@ -12,23 +12,23 @@
 KEY_HEADER = "idempotency-key"
 IDEMPOTENT_HEADER = "camphortray-idempotent"
 MAX_KEY_CHARS = 256
-FIELDS = frozenset(
+PARAMETERS = frozenset(
     {"service", "due", "keep_s", "idempotent", "path", "weight"}
 )
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class JobParams:
-    """What a caller asks for.
+    """Parameters of a new job.
 
     Attributes:
-      key: Idempotency key of the workspace.
-      service: Which service is to run it.
-      due_s: Seconds from now in which it should be done, or 0.
-      keep_s: How long results are kept after the end.
-      idempotent: Whether an item may be run again.
-      path: Interface the items are for.
-      weight: Share among the workspace's jobs.
+      key: Idempotency key, unique in the workspace.
+      service: Service that runs the job.
+      due_s: Seconds from now in which it should finish, or 0 for no due time.
+      keep_s: How long results are kept after the job ended, in seconds.
+      idempotent: Whether an item may be run more than once.
+      path: API path of all items.
+      weight: Weight among the workspace's jobs.
     """
 
     key: str
@@ -46,14 +46,16 @@
         headers: dict[str, str],
         services: dict[str, settings.Service],
     ) -> "JobParams":
-        """Read and check a request's fields.
+        """Parse and check the parameters of a request.
 
         Raises:
-          Refused: naming the field at fault.
+          Refused: A parameter is invalid; the error names it.
         """
-        unknown = sorted(set(query) - FIELDS)
+        unknown = sorted(set(query) - PARAMETERS)
         if unknown:
-            raise bad(unknown[0], f"is not one of {', '.join(sorted(FIELDS))}")
+            raise bad_parameter(
+                unknown[0], f"is not one of {', '.join(sorted(PARAMETERS))}"
+            )
         key = headers.get(KEY_HEADER, "")
         if not 0 < len(key) <= MAX_KEY_CHARS:
             raise errors.Refused(
@@ -69,28 +71,32 @@
             )
         path = query.get("path", PATHS[0])
         if path not in PATHS:
-            raise bad("path", f"is not one of {', '.join(PATHS)}")
-        said = query.get("idempotent", headers.get(IDEMPOTENT_HEADER, "true"))
-        if said not in ("true", "false"):
-            raise bad("idempotent", "is neither true nor false")
+            raise bad_parameter("path", f"is not one of {', '.join(PATHS)}")
+        idempotent_text = query.get(
+            "idempotent", headers.get(IDEMPOTENT_HEADER, "true")
+        )
+        if idempotent_text not in ("true", "false"):
+            raise bad_parameter("idempotent", "is neither true nor false")
         return cls(
             key,
             service,
-            number(query, "due", 0.0),
-            number(query, "keep_s", service.get("job.keep_s")),
-            said == "true",
+            parse_number(query, "due", 0.0),
+            parse_number(query, "keep_s", service.get("job.keep_s")),
+            idempotent_text == "true",
             path,
-            number(query, "weight", service.get("job.weight"), least=1e-3),
+            parse_number(
+                query, "weight", service.get("job.weight"), least=1e-3
+            ),
         )
 
 
-def number(
+def parse_number(
     query: dict[str, str], name: str, default: Any, least: float = 0.0
 ) -> float:
-    """Return a field as a finite number.
+    """Return a parameter as a number, or its default if it is not given.
 
     Raises:
-      Refused: it is none, or too small.
+      Refused: It is not a number, below ``least``, or 1e12 or more.
     """
     text = query.get(name)
     if text is None:
@@ -98,12 +104,12 @@
     try:
         value = float(text)
     except ValueError:
-        raise bad(name, f"{text!r} is not a number") from None
+        raise bad_parameter(name, f"{text!r} is not a number") from None
     if not least <= value < 1e12:
-        raise bad(name, f"{text} is out of range")
+        raise bad_parameter(name, f"{text} is out of range")
     return value
 
 
-def bad(field: str, reason: str) -> errors.Refused:
-    """Return the refusal of a field."""
+def bad_parameter(field: str, reason: str) -> errors.Refused:
+    """Return the refusal of an invalid parameter."""
     return errors.Refused(400, "bad_field", f"{field} {reason}", field=field)
