--- a/camphortray/results.py
+++ b/camphortray/results.py
@@ -1,4 +1,4 @@
-"""Reads results of a job out of the log, in bounded memory."""
+"""Reads the results of a job from the log in bounded memory."""
 
 __all__ = ["ResultReader"]
 
@@ -11,30 +11,34 @@
 from camphortray import jobshard
 from camphortray import records
 
-# Decoded records that one reader keeps.
-KEPT = 8
+# Decoded records that one reader caches.
+MAX_CACHED_RECORDS = 8
 
 
 class ResultReader:
-    """Reads the results of one job, as far as they are there.
+    """Reads the results of one job that exist so far.
 
-    Each result comes with a cursor; a later reader that is given the
-    cursor goes on behind it.
+    Each result comes with a cursor, from which a later reader can continue
+    with the next result.
     """
 
     def __init__(self, shard: jobshard.JobShard, job: jobs.Job) -> None:
         self.shard = shard
         self.job = job
-        self.kept: collections.OrderedDict[int, dict[int, jobs.ItemResult]] = (
-            collections.OrderedDict()
-        )
+        self.cache: collections.OrderedDict[
+            int, dict[int, jobs.ItemResult]
+        ] = collections.OrderedDict()
 
     async def record(self, number: int) -> dict[int, jobs.ItemResult]:
-        """Return the results that count in a record, by item."""
-        held = self.kept.get(number)
-        if held is not None:
-            self.kept.move_to_end(number)
-            return held
+        """Return the valid results in a record of the job, by item.
+
+        Args:
+          number: Index in the job's ``records``.
+        """
+        cached = self.cache.get(number)
+        if cached is not None:
+            self.cache.move_to_end(number)
+            return cached
         record = await self.shard.read(self.job.records[number])
         raw = record.body
         if record.kind == jobs.CARRY:
@@ -46,20 +50,20 @@
                 result.job == self.job.accept.job
                 and self.job.results[result.item] == number + 1
             ):
-                # The first one in the record is the one that counted.
+                # Of an item's results in one record the first is valid.
                 found.setdefault(result.item, result)
-        self.kept[number] = found
-        if len(self.kept) > KEPT:
-            self.kept.popitem(last=False)
+        self.cache[number] = found
+        if len(self.cache) > MAX_CACHED_RECORDS:
+            self.cache.popitem(last=False)
         return found
 
     async def in_order(
         self, after: int = -1
     ) -> AsyncIterator[tuple[str, jobs.ItemResult]]:
-        """Yield cursor and result by item.
+        """Yield cursor and result in order of items.
 
-        While the job runs this ends at the first item without a result,
-        so that one who goes on from the cursor misses none.
+        While the job runs this ends at the first item without a result, so
+        that a reader that continues from the cursor misses none.
         """
         for item in range(after + 1, self.job.accept.count):
             number = self.job.results[item]
@@ -68,10 +72,10 @@
             elif self.job.status is jobs.JobStatus.RUNNING:
                 return
 
-    async def as_they_came(
+    async def in_arrival_order(
         self, record: int = 0, place: int = -1
     ) -> AsyncIterator[tuple[str, jobs.ItemResult]]:
-        """Yield cursor and result in the order in which they came."""
+        """Yield cursor and result in order of arrival."""
         number = record
         while number < len(self.job.records):
             found = await self.record(number)
@@ -83,17 +87,21 @@
     def read(
         self, order: str, after: str
     ) -> AsyncIterator[tuple[str, jobs.ItemResult]]:
-        """Return the results as a caller asks for them.
+        """Return the results in an order, after a cursor.
+
+        Args:
+          order: ``item`` or ``arrival``.
+          after: Cursor of the last result already read, or empty.
 
         Raises:
-          Refused: ``order`` or ``after`` is wrong.
+          Refused: ``order`` or ``after`` is invalid.
         """
         try:
             if order == "item":
                 return self.in_order(int(after or -1))
             if order == "arrival":
-                record, place = parts(after or "0.-1")
-                return self.as_they_came(record, place)
+                record, place = parse_cursor(after or "0.-1")
+                return self.in_arrival_order(record, place)
         except ValueError:
             raise errors.Refused(
                 400, "bad_field", f"no cursor {after!r}", field="after"
@@ -103,7 +111,7 @@
         )
 
 
-def parts(cursor: str) -> Iterator[int]:
-    """Return the numbers of a cursor in order of arrival."""
+def parse_cursor(cursor: str) -> Iterator[int]:
+    """Return record number and place from a cursor in order of arrival."""
     record, place = cursor.split(".")
     return iter((int(record), int(place)))
