--- a/camphortray/opaque.py
+++ b/camphortray/opaque.py
@@ -16,7 +16,8 @@
 
     Attributes:
       id: Id of this attempt of the caller; engines echo it.
-      route: Route of the request; names its service and limits.
+      route: Route of the request; names its service and limits, and tells
+        whether the request may be repeated.
       method: HTTP method.
       target: Path and query.
       headers: The caller's headers to forward.
