--- a/camphortray/partition_owner.py
+++ b/camphortray/partition_owner.py
@@ -30,6 +30,7 @@
 CLOSE_TIMEOUT_S = 2.0
 # Limit on the results in one page, which always holds at least one.
 MAX_PAGE_BYTES = 500_000
+# Interval between deletions of expired jobs.
 EXPIRY_INTERVAL_S = 5.0
 # Interval between checks for stalled items.
 STALL_CHECK_INTERVAL_S = 1.0
@@ -291,8 +292,8 @@
                 # earlier call to end the job while this one was pending.
                 self.items.stop_job(name)
             elif job is not None:
-                # A stored job runs even if its caller was told that the
-                # outcome is unknown.
+                # A stored job runs even if its caller received the answer
+                # that the outcome is unknown.
                 self.items.queue_open_items(job)
             event = self.job_events.pop(name, None)
             if event is not None:
@@ -417,16 +418,16 @@
         self.items.stop_job(name)
         record = partition_records.end_record(name)
         write = self.writer.put(lambda before: (record,), 0, WRITE_TIMEOUT_S)
-        # The outcome may come after the caller has disconnected or was told
-        # that it is unknown; if it is a refusal, the job must go on.
+        # The store may answer after the caller has disconnected or received
+        # the answer "unknown". If it refuses the end, the job must go on.
         write.done.add_done_callback(lambda _: self.on_end_done(name))
         await self.writer.wait_for_outcome(write, WRITE_TIMEOUT_S)
 
     def on_end_done(self, name: str) -> None:
         """Resume a job if the store refused to end it.
 
-        No caller was told that it has ended. While another call to end it is
-        pending, the job stays stopped.
+        No caller has received an answer that the job has ended. While another
+        call to end the job is pending, it stays stopped.
         """
         self.ending[name] -= 1
         if self.ending[name]:
--- a/tests/test_partition_owner.py
+++ b/tests/test_partition_owner.py
@@ -129,7 +129,7 @@
 
 async def test_a_partition_lost_during_a_submit_promises_nothing():
     # The append may have been stored. A refusal would promise that the job
-    # never runs, and a dropped connection would tell the caller nothing.
+    # never runs, and a dropped connection would give the caller no answer.
     store = ledger.MemoryLedger()
     owner = await Owned(store).ready()
     store.lose_answers = 10_000
@@ -141,8 +141,8 @@
 
 
 async def test_a_submit_that_lands_late_runs_all_the_same():
-    # The caller was told that the outcome is unknown, but the append took
-    # effect.
+    # The caller received the answer that the outcome is unknown, but the
+    # append took effect.
     store = ledger.MemoryLedger()
     owner = await Owned(store, [good() for _ in range(3)]).ready()
     store.lose_answers = 1
