--- a/camphortray/partition_manager.py
+++ b/camphortray/partition_manager.py
@@ -31,7 +31,8 @@
 JOIN_INTERVAL_S = 0.35
 # Interval at which a host that is no candidate checks its rank.
 RANK_CHECK_INTERVAL_S = 1.0
-FACT_TTL_S = 600.0
+# Time after which gossip drops a published claim to own a partition.
+CLAIM_TTL_S = 600.0
 # Attempts to confirm an epoch before its partition is released. Each takes
 # some tenths of a second at most; together they take less than the time for
 # which items of an ended job may still reach engines.
@@ -52,7 +53,7 @@
       held: Owners of the partitions that this host owns, by partition.
       owner_cache: Owners of all partitions, as far as this host knows.
       backlog: Tokens of open items of all hosts.
-      handover: Hands partial output to the next owners of partitions.
+      handover: Sends partial output to the next owners of partitions.
       candidates: Decides whether this host is to join the group.
       joined: Whether this host is in the group, as far as it knows.
       unowned: Set when partitions are found without an owner.
@@ -238,25 +239,26 @@
             assignment is unchanged, and partitions are kept even if the store
             does not respond.
         """
-        left = [
+        unconfirmed = [
             owner
             for owner in self.held.values()
             if owner.ready.is_set() and not owner.lost
         ]
         for _ in range(CONFIRM_TRIES):
             # Concurrently, and together with a renewal of the membership: in
-            # sequence, with retries, they outlasted the membership.
+            # sequence, the retried confirmations outlasted the membership.
             known = await asyncio.gather(
-                *(self.check_epoch(owner) for owner in left), self.renew()
+                *(self.check_epoch(owner) for owner in unconfirmed),
+                self.renew(),
             )
-            pairs = list(zip(left, known, strict=False))
+            pairs = list(zip(unconfirmed, known, strict=False))
             for owner, found in pairs:
                 if found is False:
                     self.release(owner)
-            left = [owner for owner, found in pairs if found is None]
-            if not left:
+            unconfirmed = [owner for owner, found in pairs if found is None]
+            if not unconfirmed:
                 return
-        for owner in left:
+        for owner in unconfirmed:
             LOG.notice("Partition {} could not be confirmed.", owner.part)
             if changed:
                 self.release(owner)
@@ -332,7 +334,7 @@
             del self.held[owner.part]
 
     def on_change(self, part: int) -> None:
-        """Publish the ownership of a partition once it has been read."""
+        """Publish the ownership of a partition once its records are read."""
         self.backlog.counts_changed = True
         owner = self.held.get(part)
         if owner is None or not owner.ready.is_set():
@@ -341,7 +343,7 @@
         claim = self.known.get(part)
         if claim is None or claim[:2] != (owner.epoch, self.members.own_name):
             key = f"{part}/{self.members.own_name}"
-            self.members.publish(OWNER, key, owner.epoch, FACT_TTL_S)
+            self.members.publish(OWNER, key, owner.epoch, CLAIM_TTL_S)
             self.handover.send(part, self.members.own_name)
 
     def on_owner_fact(self, fact: membership.Fact) -> None:
@@ -352,9 +354,8 @@
         newest = self.owner_cache.on_claim(part, claim)
         owner = self.held.get(part)
         if owner is not None and epoch > owner.epoch:
-            # This host has not heard of it from the store, which may be
-            # unreachable; it must not run items in parallel with the new
-            # owner.
+            # The store, which may be unreachable, has not reported the new
+            # owner to this host. The two must not run items in parallel.
             LOG.notice(
                 "Releasing partition {}: {} owns it in epoch {}.",
                 part,
