--- a/camphortray/partition_state.py
+++ b/camphortray/partition_state.py
@@ -1,4 +1,4 @@
-"""Batch jobs of opaque items, as one partition of the ledger holds them.
+"""Batch jobs of opaque items, as stored in one partition of the ledger.
 
 The state is the newest record of each key, and each key is written once (see
 ``partition_records``) before it is deleted. Only the owner of the partition
@@ -273,9 +273,10 @@
     def drop_gaps(self) -> list[str]:
         """Discard results after a gap; return the ids of their jobs.
 
-        Their items are still open and run again, and new results reuse their
-        positions. Kept, the old results would be applied once the gap is
-        filled, at positions that new results have taken meanwhile.
+        The items of these results are still open and run again, and their new
+        results reuse the positions. If the old results were kept, they would
+        be applied once the gap is filled, at positions that new results have
+        taken meanwhile.
         """
         names = [
             name
@@ -287,7 +288,7 @@
         return names
 
     def on_key_deleted(self, name: str, key: str) -> None:
-        """Note that a key was deleted; with the last key, forget the job."""
+        """Remove a deleted key; with its last key, forget the job."""
         keys = self.keys.get(name)
         if keys is None:
             return
--- a/tests/test_partition_state.py
+++ b/tests/test_partition_state.py
@@ -76,8 +76,8 @@
 
 
 def test_a_text_larger_than_a_record_reads_the_same_in_any_order():
-    # Such a result could not be stored, as no record holds it: its item ran
-    # again every 30 s until its deadline and was then abandoned.
+    # The result of such a text could not be stored, and its item ran again
+    # every 30 s until its deadline and was then abandoned.
     job = partition_state.Job("j1", "h", "/p/", 0.0, [None] * 3)
     text = bytes(range(256)) * 10
     large = partition_records.Result(1, DONE, text)
