--- a/camphortray/job_router.py
+++ b/camphortray/job_router.py
@@ -31,6 +31,7 @@
 WRITE_FIND_TIMEOUT_S = 3.0
 # Time limit for the answer of an owner, except for long polling.
 ANSWER_TIMEOUT_S = 0.8
+# Time after which a refused caller is asked to retry.
 RETRY_AFTER_S = 0.5
 
 Ask = Any
@@ -136,7 +137,7 @@
     async def read(self, job: str, ask: Ask, timeout_s: float) -> Any:
         """Route a read-only call to the owner of a job.
 
-        If its outcome is unknown, the caller is told to retry.
+        If the outcome is unknown, the refusal asks the caller to retry.
 
         Raises:
           Refused: The owner refuses the call, or no owner answers.
@@ -415,7 +416,7 @@
 
 
 def no_owner(why: str) -> errors.Refused:
-    """Return the refusal while a partition changes hands."""
+    """Return the refusal of a call that no owner can answer for now."""
     return errors.Refused(503, "no_owner", why, retry_after=RETRY_AFTER_S)
 
 
