--- a/camphortray/handover.py
+++ b/camphortray/handover.py
@@ -1,4 +1,4 @@
-"""Hands the partial output of items to the next owner of their partition."""
+"""Sends the partial output of items to the next owner of their partition."""
 
 __all__ = ["Handover"]
 
@@ -16,7 +16,7 @@
 LOG = logs.logger("jobs")
 # Time for which partial output is kept for the next owner. After that, the
 # next owner has produced more itself.
-KEEP_S = 10.0
+SAVED_PROGRESS_TTL_S = 10.0
 # Size limit of one message, well below the limit of a link.
 MAX_MESSAGE_BYTES = 200_000
 
@@ -39,7 +39,7 @@
 
     Only complete results are stored in the ledger. Without a handover, each
     change of ownership, also by a planned restart, restarts all running items.
-    It is best effort: a host that has failed hands nothing over, and the next
+    The handover is best effort: a failed host sends nothing, and the next
     owner does not wait for it.
 
     Attributes:
@@ -74,7 +74,7 @@
         """Send saved partial output to the member that owns a partition."""
         saved = self.saved.pop(part, None)
         now = self.clock.monotonic()
-        if saved is None or now - saved.at > KEEP_S:
+        if saved is None or now - saved.at > SAVED_PROGRESS_TTL_S:
             return
         updates = [
             jobmessages.ProgressUpdate(part, job, group)
