--- a/camphortray/owner_cache.py
+++ b/camphortray/owner_cache.py
@@ -58,10 +58,11 @@
     """Owners of partitions as far as one host knows them.
 
     An owner publishes its claim once, and the claim may arrive late. If a
-    claim turns out to be stale, as the owner refuses a call, the host can
-    query the store, which assigns the partitions. The assignment takes
+    claim turns out to be stale, because the claimant refuses a call, the host
+    can query the store, which assigns the partitions. The assignment takes
     precedence over a claim until a newer claim arrives. It names the host that
-    is to own a partition; only that host knows whether it has read it yet.
+    is to own a partition; only that host knows whether it has read the records
+    of the partition yet.
 
     Attributes:
       own_name: Member name of this host.
--- a/tests/test_owner_cache.py
+++ b/tests/test_owner_cache.py
@@ -2,9 +2,9 @@
 
 Callers got 503, "partition 0 changes hands", to a job's POST, although the
 store and both hosts were up and the partition had a ready owner. The host that
-received the POST had lost the partition and waited for the next owner's claim
-for its whole limit of three seconds; next to 30 busy processes the claim took
-longer. It could have queried the store.
+received the POST had lost the partition and waited for the next owner's claim,
+which took longer than the limit of three seconds on a machine with 30 busy
+processes. The host could have queried the store.
 """
 
 import asyncio
