--- a/camphortray/owner_candidates.py
+++ b/camphortray/owner_candidates.py
@@ -16,7 +16,7 @@
 STAY_FACTOR = 1.5
 # Time for which a host that has found partitions without an owner is a
 # candidate regardless of its rank.
-UNOWNED_S = 10.0
+UNOWNED_CANDIDACY_S = 10.0
 
 
 class OwnerCandidates:
@@ -32,7 +32,7 @@
     def __init__(self, own_name: str, partitions: int, now: float) -> None:
         self.own_name = own_name
         self.count = max(MIN_CANDIDATES, CANDIDATES_PER_PARTITION * partitions)
-        self.unowned_at = now - UNOWNED_S
+        self.unowned_at = now - UNOWNED_CANDIDACY_S
 
     def note_unowned(self, now: float) -> None:
         """Record that partitions were found without an owner."""
@@ -49,7 +49,7 @@
           member: Whether this host is a member of the group now.
           now: Monotonic time.
         """
-        if now - self.unowned_at < UNOWNED_S:
+        if now - self.unowned_at < UNOWNED_CANDIDACY_S:
             return True
         if not known:
             return False
--- a/tests/test_owner_candidates.py
+++ b/tests/test_owner_candidates.py
@@ -79,7 +79,7 @@
     assert not own.should_join(names, True, False, LATER)
     own.note_unowned(LATER)
     assert own.should_join(names, True, False, LATER)
-    until = LATER + owner_candidates.UNOWNED_S
+    until = LATER + owner_candidates.UNOWNED_CANDIDACY_S
     assert own.should_join(names, True, True, until - 0.1)
     assert not own.should_join(names, True, True, until)
 
