--- a/camphortray/partwriter.py
+++ b/camphortray/partwriter.py
@@ -27,8 +27,8 @@
 ANSWER_TIMEOUT_FACTOR = 10.0
 MIN_ANSWER_TIMEOUT_S = 0.1
 MAX_ANSWER_TIMEOUT_S = 1.0
-# Time beyond that time-out after which a call that has not ended by itself
-# is cancelled and counts as unanswered.
+# Time beyond the time-out of an append after which a call to the store that
+# has not returned is cancelled and counts as unanswered.
 CALL_SLACK_S = 1.0
 # Consecutive errors of an unexpected type after which the writer stops.
 MAX_UNEXPECTED_ERRORS = 20
@@ -55,7 +55,7 @@
       expires_at: Time on the monotonic clock at which the caller stops
         waiting.
       done: Completed with the outcome of the write, even if the caller has
-        already been told that the outcome is unknown.
+        already received the answer that the outcome is unknown.
     """
 
     make: RecordFactory
@@ -310,7 +310,7 @@
         return [write for write in batch if now < write.expires_at]
 
     def refuse(self, writes: list[Write], reason: str) -> None:
-        """Tell callers that their records are not stored and never will be."""
+        """Complete writes whose records are not stored and never will be."""
         for write in writes:
             settle(write, refused(reason))
 
@@ -324,7 +324,7 @@
 
 
 def settle_all(batch: list[Write]) -> None:
-    """Tell the callers of a batch of writes that their records are stored."""
+    """Complete the writes of a batch whose records are stored."""
     for write in batch:
         settle(write, None)
 
--- a/tests/test_partwriter.py
+++ b/tests/test_partwriter.py
@@ -72,8 +72,8 @@
 
 
 async def test_a_write_refused_all_the_while_is_certainly_not_kept():
-    # The caller is told that its job does not run, which holds only if the
-    # store refused each attempt.
+    # The answer to the caller says that its job does not run, which is true
+    # only if the store refused each attempt.
     rig = WriterRig()
     rig.ledger.refuse = 10_000
     with pytest.raises(errors.LogRefused):
