--- a/camphortray/ownership.py
+++ b/camphortray/ownership.py
@@ -1,4 +1,4 @@
-"""Takes part in the ownership of a stream on behalf of one host."""
+"""Claims, defends and releases the ownership of a stream for one host."""
 
 __all__ = ["Members", "Owner", "Roster"]
 
@@ -39,7 +39,7 @@
 
 
 class Roster(abc.ABC):
-    """The hosts that can own a shard, and their liveness seen from here."""
+    """The hosts that can own a shard, with their liveness at this host."""
 
     @abc.abstractmethod
     def live(self) -> list[str]:
@@ -95,8 +95,8 @@
     Attributes:
       journal: Journal of the stream.
       on_gain: Called with the new epoch when this process becomes the owner.
-      on_loss: Called when this process is the owner no more; what it appends
-        afterwards is void.
+      on_loss: Called when this process is no longer the owner; what it
+        appends afterwards is void.
       busy: Returns whether a handover now would lose work that must not be
         repeated. While it returns true, the stream is released only by a
         drain, not to balance the load.
@@ -224,7 +224,7 @@
         return True
 
     async def release(self, timeout_s: float = 10.0) -> None:
-        """Release the stream and claim it no more; for a drain."""
+        """Release the stream and do not claim it again; for a drain."""
         self.draining = True
         self.changed.set()
         if self.task is None and self.owned:
