--- a/camphortray/takeover.py
+++ b/camphortray/takeover.py
@@ -120,7 +120,7 @@
           now: Time on the monotonic clock.
         """
         held = view.held
-        self.note_challenge(held, now)
+        self.record_challenge(held, now)
         if held.owner == self.writer:
             return self.owner_step(view, now)
         if view.draining:
@@ -154,7 +154,7 @@
         return Step(wait_s=wait_s) if wait_s > 0 else Step(folds.RELEASE)
 
     def replace_owner(self, view: StreamView, now: float) -> Step:
-        """Return the next step towards replacing an owner thought lost."""
+        """Return the next step towards replacing a seemingly lost owner."""
         held = view.held
         if held.challenge != records.NO_EPOCH:
             delay_s = view.rank() * self.timing.stagger_s
@@ -192,7 +192,7 @@
             self.condition = (condition, now)
         return self.condition[1] + required_s - now
 
-    def note_challenge(self, held: folds.Ownership, now: float) -> None:
+    def record_challenge(self, held: folds.Ownership, now: float) -> None:
         """Record when a challenge is read and when it is answered."""
         if held.epoch != self.epoch:
             self.epoch = held.epoch
