--- a/camphortray/jobs.py
+++ b/camphortray/jobs.py
@@ -67,7 +67,8 @@
 job_id = jobstate.job_id
 shard_of = jobstate.shard_of
 
-# Ids of deleted jobs that are kept to answer 410; the oldest is dropped first.
+# Maximum number of ids of deleted jobs, which are kept to answer 410. The
+# oldest is dropped first.
 MAX_FORGOTTEN_JOBS = 10_000
 
 
