--- a/camphortray/jobshard.py
+++ b/camphortray/jobshard.py
@@ -19,7 +19,7 @@
 # Time-out of the append of one record.
 APPEND_TIMEOUT_S = 10.0
 # Size limit of the record cache that all shards of a host share.
-CACHE_BYTES = 16_777_216
+MAX_CACHE_BYTES = 16_777_216
 
 
 class RecordCache:
@@ -29,7 +29,7 @@
     adjacent results would fetch the same page repeatedly.
     """
 
-    def __init__(self, limit_bytes: int = CACHE_BYTES) -> None:
+    def __init__(self, limit_bytes: int = MAX_CACHE_BYTES) -> None:
         self.limit_bytes = limit_bytes
         self.size_bytes = 0
         self.held: collections.OrderedDict[tuple[str, int], bytes] = (
@@ -110,7 +110,7 @@
     def cache_page(self, page: log.Page) -> None:
         """Cache a page of records, but no more than half of the cache size.
 
-        The others cannot evict the first record, which was asked for.
+        So the later records cannot evict the first, which was requested.
         """
         size = 0
         for record in page.records:
@@ -134,7 +134,7 @@
             self.journal.listeners.remove(check)
 
     async def catch_up(self, timeout_s: float = 2.0) -> None:
-        """Wait until all records that the log holds at the call are applied.
+        """Wait until the fold has reached the present end of the log.
 
         Raises:
           LogError: the log does not answer.
