--- a/camphortray/append_forwarder.py
+++ b/camphortray/append_forwarder.py
@@ -195,8 +195,8 @@
         try:
             return await self.service.append(stream, data)
         except errors.LogRefused as error:
-            # The peer may still append the record. With LogRefused the
-            # caller would report that a call will not run which may run.
+            # The peer may still append the record. After LogRefused, the
+            # caller would report that a call will not run, although it may.
             raise errors.LogUnavailable(
                 error.message, step="append", peer=stream
             ) from error
