--- a/tests/test_itemrig.py
+++ b/tests/test_itemrig.py
@@ -169,9 +169,9 @@
     broken.armed = armed
     apply = partition_state.PartitionState.apply
 
-    def broken_apply(book, record):
+    def broken_apply(state, record):
         broken.now(f"apply {record.key[0]}")
-        apply(book, record)
+        apply(state, record)
 
     monkeypatch.setattr(partition_state.PartitionState, "apply", broken_apply)
     house = itemrig.House(broken, breakrig.RigLedger(broken))
