--- a/tests/test_owner_cache.py
+++ b/tests/test_owner_cache.py
@@ -2,7 +2,7 @@
 
 A host that had lost a partition waited 3 s for the next owner's claim, which
 came later on a busy machine. Job submissions were refused with 503 although
-the partition had a ready owner, which with host could have read in the store.
+the partition had a ready owner, which the host could have read from the store.
 """
 
 import asyncio
